--- a/benches/workload/model.rs
+++ b/benches/workload/model.rs
@@ -2,7 +2,7 @@
 
 use crate::case::Fault;
 use clap::ValueEnum;
-use dispatch::entry::SLOTS_PER_LEAD;
+use dispatch::entry::DEFAULT_SLOTS_PER_LEAD;
 use serde_json::{from_value, json};
 use site::{
     Contract, DataCentre, Link, Policy, Site,
@@ -61,7 +61,7 @@
             true => vec![1, 1, 2, 4],
             false => vec![1; firms],
         };
-        let slots_per_lead = SLOTS_PER_LEAD;
+        let slots_per_lead = DEFAULT_SLOTS_PER_LEAD;
         Model { name, place, data_centres, weights, worker, rack, prefer, slots_per_lead }
     }
 
--- a/capacity/src/page/entries.rs
+++ b/capacity/src/page/entries.rs
@@ -61,6 +61,6 @@
         line = super::text::time(full.line_cpu()?),
         submission = super::text::time(full.submission_cpu()?),
         budget = rate(BYTES_BUDGET),
-        slots = number(f64::from(dispatch::entry::SLOTS_PER_LEAD)),
+        slots = number(f64::from(dispatch::entry::DEFAULT_SLOTS_PER_LEAD)),
     ))
 }
--- a/capacity/src/probe/lend.rs
+++ b/capacity/src/probe/lend.rs
@@ -12,7 +12,7 @@
 };
 use dispatch::{
     Action, Entry, Event, Message,
-    message::{Demand, Giveback, Grant, Want},
+    message::{CapacityRequest, Demand, Grant, ServiceGrants},
 };
 use site::{
     id::{FirmId, Home, ServiceId},
@@ -50,7 +50,7 @@
     for round in 1..=ROUNDS {
         let now = Time(1) + Span::from_millis(10 * round);
         let wanted = endpoints as u32 * PER_WORKER / 2;
-        let want = Message::Want(Want {
+        let want = Message::CapacityRequest(CapacityRequest {
             service: WORKERS,
             tasks: wanted,
             held: 0,
@@ -65,7 +65,7 @@
         });
         time += spent;
         grants += lent.len();
-        let back = Message::Return(Giveback { service: WORKERS, grants: lent });
+        let back = Message::Return(ServiceGrants { service: WORKERS, grants: lent });
         let sent = out.iter().filter_map(|action| match action {
             Action::Send { message, .. } => Some(message),
             _ => None,
@@ -93,7 +93,13 @@
 fn wish() -> Message {
     let demand = |number| Demand { firm: FirmId::of(&folder::firm(number)), jobs: 3 };
     let demand = (0..FIRMS).map(demand).collect();
-    Message::Want(Want { service: WORKERS, tasks: 500, held: 4_000, needs: NEEDS, demand })
+    Message::CapacityRequest(CapacityRequest {
+        service: WORKERS,
+        tasks: 500,
+        held: 4_000,
+        needs: NEEDS,
+        demand,
+    })
 }
 
 fn lends(actions: &[Action]) -> Vec<Grant> {
--- a/capacity/src/probe/table.rs
+++ b/capacity/src/probe/table.rs
@@ -35,7 +35,7 @@
     let submissions = load.prepare(vec![tasks; jobs]);
     load.run(submissions, Span::ZERO);
     let grown = heap() - before;
-    let found = load.entry.open() as u64;
+    let found = load.entry.open_submissions() as u64;
     if found != jobs as u64 {
         return Err(Error::Unexpected { probe: Probe::OpenTask, expected: jobs as u64, found });
     }
--- a/components/dispatch/src/entry/answer.rs
+++ b/components/dispatch/src/entry/answer.rs
@@ -42,11 +42,11 @@
         for waiter in finish.waiters {
             self.answer(now, waiter, id, finish.answer.clone(), out);
         }
-        self.drain_on(now, out);
+        self.continue_drain(now, out);
     }
 
     /// Answers with a failure that is not the submission's fixed answer.
-    pub(super) fn refuse(
+    pub(super) fn reject(
         &self,
         now: Time,
         waiter: Waiter,
@@ -60,7 +60,12 @@
     }
 
     /// Tells one waiter how far a submission has come.
-    pub(super) fn tell(&self, waiter: Waiter, status: Option<Status>, out: &mut Vec<Action>) {
+    pub(super) fn send_status(
+        &self,
+        waiter: Waiter,
+        status: Option<Status>,
+        out: &mut Vec<Action>,
+    ) {
         match waiter {
             Waiter::Caller(waiter) => out.push(Action::Status { waiter, status }),
             Waiter::Peer { home, request } => {
--- a/components/dispatch/src/entry/drain.rs
+++ b/components/dispatch/src/entry/drain.rs
@@ -1,9 +1,9 @@
 //! A planned stop: the table goes to a successor; and the other end of it.
 
-use super::{EPOCH, EPOCHS, Entry, moves::Own};
+use super::{EPOCH, EPOCHS, Entry, handovers::OutgoingHandover};
 use crate::{
     Action, Message,
-    message::{Handover, Record, Tabled},
+    message::{Handover, HomeTable, Record},
 };
 use ledger::record::Kept;
 use membership::Status;
@@ -14,24 +14,24 @@
 use std::sync::atomic::Ordering;
 
 /// Most bytes of answers in one part of a handover, but for the answer that exceeds it.
-const PART_BYTES: usize = 512 << 10;
+const MAX_PART_BYTES: usize = 512 << 10;
 
 /// Most submissions in one part of a handover.
-const PART_RECORDS: usize = 4_096;
+const MAX_PART_RECORDS: usize = 4_096;
 
 /// Longest time that a handover may take; the process ends then without it.
-const HANDOVER_LIMIT: Span = Span::from_secs(10);
+const HANDOVER_TIME_LIMIT: Span = Span::from_secs(10);
 
 /// How long a moved or adopted table is remembered: as long as its identifiers were accepted.
-const MEMORY: Span = Span(EPOCH.0 * EPOCHS as u64);
+const TABLE_RETENTION: Span = Span(EPOCH.0 * EPOCHS as u64);
 
 /// Where the table of a home is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Whereabouts {
+pub(super) enum TableLocation {
     /// At this entry, taken over.
-    Here,
+    Local,
     /// At the home itself or its successor.
-    At(Home),
+    Remote(Home),
     /// At the home, which can't be reached now.
     Unreachable,
     /// Nowhere.
@@ -40,22 +40,22 @@
 
 impl Entry {
     /// Where the table of `home` is.
-    pub(super) fn whereabouts(&self, now: Time, home: Home) -> Whereabouts {
-        if home == self.home || self.moves.lock().keeps(home) {
-            return Whereabouts::Here;
+    pub(super) fn locate_table(&self, now: Time, home: Home) -> TableLocation {
+        if home == self.home || self.handovers.lock().holds(home) {
+            return TableLocation::Local;
         }
-        let successor = self.moves.lock().successor(home);
+        let successor = self.handovers.lock().successor(home);
         let holder = successor.unwrap_or(home);
         match self.members.lock().ask(now, holder) {
-            Status::Live | Status::Draining => Whereabouts::At(holder),
-            Status::Unreachable => Whereabouts::Unreachable,
-            Status::Gone => Whereabouts::Gone,
+            Status::Live | Status::Draining => TableLocation::Remote(holder),
+            Status::Unreachable => TableLocation::Unreachable,
+            Status::Gone => TableLocation::Gone,
         }
     }
 
     /// Notes that a request was admitted under another home's token.
     pub(super) fn remember_foreign(&self, now: Time, token: Token) {
-        self.moves.lock().foreign.insert(token, now);
+        self.handovers.lock().foreign_tokens.insert(token, now);
     }
 
     /// Admits nothing more from now on.
@@ -65,12 +65,12 @@
         }
         let changed = self.members.lock().drain();
         let peers: Vec<Home> = self.live_peers();
-        let message = self.sign_of_life();
+        let message = self.heartbeat_message();
         for to in peers {
             out.push(Action::Send { to, message: message.clone() });
         }
-        self.after_change(now, changed, out);
-        self.drain_on(now, out);
+        self.apply_changes(now, changed, out);
+        self.continue_drain(now, out);
     }
 
     fn live_peers(&self) -> Vec<Home> {
@@ -85,17 +85,18 @@
     }
 
     /// Hands the table over once nothing is open any more, and ends the process after that.
-    pub(super) fn drain_on(&self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn continue_drain(&self, now: Time, out: &mut Vec<Action>) {
         if !self.is_draining() || !self.is_idle() {
             return;
         }
-        let handed = self.moves.lock().handover.as_ref().map(|own| own.done || now >= own.until);
+        let handed =
+            self.handovers.lock().outgoing.as_ref().map(|own| own.done || now >= own.deadline);
         match handed {
             Some(true) => self.exit(out),
             Some(false) => {}
             None => {
                 let successor = self.choose_successor(None);
-                self.hand_over(now, successor, now + HANDOVER_LIMIT, out);
+                self.hand_over(now, successor, now + HANDOVER_TIME_LIMIT, out);
             }
         }
     }
@@ -103,7 +104,7 @@
     /// Whether nothing is open. Looks in the order in which a request moves on; the caller is the
     /// only one that handles an event, or it is not idle.
     fn is_idle(&self) -> bool {
-        self.handling.load(Ordering::SeqCst) == 1
+        self.active_calls.load(Ordering::SeqCst) == 1
             && self.claims.lock().is_empty()
             && self.routes.lock().is_empty()
             && self.shards.iter().all(|shard| shard.lock().open() == 0)
@@ -118,15 +119,15 @@
         first.or_else(|| willing.next())
     }
 
-    fn hand_over(&self, now: Time, successor: Option<Home>, until: Time, out: &mut Vec<Action>) {
+    fn hand_over(&self, now: Time, successor: Option<Home>, deadline: Time, out: &mut Vec<Action>) {
         let Some(successor) = successor else {
             return self.exit(out);
         };
-        let parts = self.parts();
+        let parts = self.split_table();
         let last = parts.len() as u32 - 1;
-        let mut tables: Vec<Tabled> =
-            self.moves.lock().kept.iter().map(|(_, table)| *table).collect();
-        tables.push(Tabled { home: self.home, first: self.first_epoch() });
+        let mut tables: Vec<HomeTable> =
+            self.handovers.lock().held.iter().map(|(_, table)| *table).collect();
+        tables.push(HomeTable { home: self.home, first_epoch: self.first_epoch() });
         let home = self.home;
         let parts = (0..).zip(parts).map(|(part, records)| Handover {
             home,
@@ -135,34 +136,40 @@
             tables: tables.clone(),
             records,
         });
-        let own = Own { successor, sent: 0, parts: parts.collect(), until, done: false };
-        self.moves.lock().handover = Some(own);
-        self.arm(until.min(now + HANDOVER_LIMIT));
+        let own = OutgoingHandover {
+            successor,
+            last_sent: 0,
+            parts: parts.collect(),
+            deadline,
+            done: false,
+        };
+        self.handovers.lock().outgoing = Some(own);
+        self.schedule_tick(deadline.min(now + HANDOVER_TIME_LIMIT));
         self.send_part(out);
     }
 
     /// Sends the next part of the own handover. One part is under way at a time, so that a large
     /// table does not overflow the connection's queue.
     fn send_part(&self, out: &mut Vec<Action>) {
-        let mut moves = self.moves.lock();
-        let Some(own) = moves.handover.as_mut() else {
+        let mut handovers = self.handovers.lock();
+        let Some(own) = handovers.outgoing.as_mut() else {
             return;
         };
         if let Some(part) = own.parts.pop_front() {
-            own.sent = part.part;
+            own.last_sent = part.part;
             out.push(Action::Send { to: own.successor, message: Message::Handover(part) });
         }
     }
 
     /// The table in parts; at least one.
-    fn parts(&self) -> Vec<Vec<Record>> {
+    fn split_table(&self) -> Vec<Vec<Record>> {
         let mut parts = vec![Vec::new()];
         let mut bytes = 0;
         for shard in &self.shards {
             for (id, record, kept) in shard.lock().finished() {
                 let size = kept.size();
-                let full = parts.last().map_or(0, Vec::len) >= PART_RECORDS;
-                if full || (bytes > 0 && bytes + size > PART_BYTES) {
+                let full = parts.last().map_or(0, Vec::len) >= MAX_PART_RECORDS;
+                if full || (bytes > 0 && bytes + size > MAX_PART_BYTES) {
                     parts.push(Vec::new());
                     bytes = 0;
                 }
@@ -182,27 +189,33 @@
 
     /// Starts the handover again: with another successor when the chosen one is lost or stops
     /// itself, with the same one when its connection is back and there is no other.
-    pub(super) fn hand_over_again(&self, now: Time, peer: Home, out: &mut Vec<Action>) {
-        let until = {
-            let moves = self.moves.lock();
-            let pending = moves.handover.as_ref().filter(|own| !own.done);
-            pending.filter(|own| own.successor == peer).map(|own| own.until)
+    pub(super) fn restart_handover(&self, now: Time, peer: Home, out: &mut Vec<Action>) {
+        let deadline = {
+            let handovers = self.handovers.lock();
+            let pending = handovers.outgoing.as_ref().filter(|own| !own.done);
+            pending.filter(|own| own.successor == peer).map(|own| own.deadline)
         };
-        let Some(until) = until else {
+        let Some(deadline) = deadline else {
             return;
         };
         let status = self.members.lock().status(now, peer);
         let other = self.choose_successor(Some(peer));
         let same = (status == Status::Live).then_some(peer);
         if let Some(successor) = other.or(same) {
-            self.hand_over(now, Some(successor), until, out);
+            self.hand_over(now, Some(successor), deadline, out);
         }
     }
 
     /// Takes over a part of a stopping home's table.
-    pub(super) fn adopt(&self, now: Time, from: Home, handover: Handover, out: &mut Vec<Action>) {
+    pub(super) fn receive_handover(
+        &self,
+        now: Time,
+        from: Home,
+        handover: Handover,
+        out: &mut Vec<Action>,
+    ) {
         let Handover { home, part, last, tables, records } = handover;
-        if home != from || self.is_draining() || !self.moves.lock().arrive(home, part) {
+        if home != from || self.is_draining() || !self.handovers.lock().accept_part(home, part) {
             return;
         }
         for record in records {
@@ -218,21 +231,27 @@
             shard.adopt(record.id, record.firm, record.content, kept);
         }
         if last {
-            self.keep_tables(now, home, tables, out);
+            self.take_over_tables(now, home, tables, out);
         }
         out.push(Action::Send { to: from, message: Message::HandoverStored { home, part } });
     }
 
-    fn keep_tables(&self, now: Time, from: Home, tables: Vec<Tabled>, out: &mut Vec<Action>) {
-        let mut moves = self.moves.lock();
-        moves.arriving.remove(&from);
+    fn take_over_tables(
+        &self,
+        now: Time,
+        from: Home,
+        tables: Vec<HomeTable>,
+        out: &mut Vec<Action>,
+    ) {
+        let mut handovers = self.handovers.lock();
+        handovers.incoming_parts.remove(&from);
         for table in &tables {
-            moves.successors.remove(&table.home);
-            if !moves.keeps(table.home) {
-                moves.kept.push_back((now, *table));
+            handovers.successors.remove(&table.home);
+            if !handovers.holds(table.home) {
+                handovers.held.push_back((now, *table));
             }
         }
-        drop(moves);
+        drop(handovers);
         for to in self.live_peers() {
             for table in &tables {
                 let message = Message::Moved { home: table.home, successor: self.home };
@@ -242,7 +261,7 @@
     }
 
     /// Notes that the successor has stored a part.
-    pub(super) fn stored(
+    pub(super) fn part_stored(
         &self,
         now: Time,
         from: Home,
@@ -250,47 +269,55 @@
         part: u32,
         out: &mut Vec<Action>,
     ) {
-        let mut moves = self.moves.lock();
-        let own = moves.handover.as_mut().filter(|own| own.successor == from);
-        let Some(own) = own.filter(|own| own.awaits(part) && home == self.home) else {
+        let mut handovers = self.handovers.lock();
+        let own = handovers.outgoing.as_mut().filter(|own| own.successor == from);
+        let Some(own) = own.filter(|own| own.is_awaiting(part) && home == self.home) else {
             return;
         };
         own.done = own.parts.is_empty();
         let done = own.done;
-        drop(moves);
+        drop(handovers);
         match done {
-            true => self.drain_on(now, out),
+            true => self.continue_drain(now, out),
             false => self.send_part(out),
         }
     }
 
     fn exit(&self, out: &mut Vec<Action>) {
-        let mut moves = self.moves.lock();
-        if !moves.exited {
-            moves.exited = true;
+        let mut handovers = self.handovers.lock();
+        if !handovers.exited {
+            handovers.exited = true;
             out.push(Action::Exit);
         }
     }
 
     /// Takes notice of a table that changed hands.
-    pub(super) fn moved(&self, now: Time, home: Home, successor: Home, out: &mut Vec<Action>) {
-        self.moves.lock().moved(home, successor);
-        self.after_change(now, false, out);
+    pub(super) fn table_moved(
+        &self,
+        now: Time,
+        home: Home,
+        successor: Home,
+        out: &mut Vec<Action>,
+    ) {
+        self.handovers.lock().record_successor(home, successor);
+        self.apply_changes(now, false, out);
     }
 
     /// Forgets tables that are too old.
-    pub(super) fn forget_old(&self, now: Time) {
+    pub(super) fn forget_old_tables(&self, now: Time) {
         let mut forgotten = Vec::new();
         {
-            let mut moves = self.moves.lock();
-            while moves.kept.front().is_some_and(|(time, _)| now.since(*time) > MEMORY) {
-                forgotten.extend(moves.kept.pop_front().map(|(_, table)| (table.home, u32::MAX)));
+            let mut handovers = self.handovers.lock();
+            while handovers.held.front().is_some_and(|(time, _)| now.since(*time) > TABLE_RETENTION)
+            {
+                forgotten
+                    .extend(handovers.held.pop_front().map(|(_, table)| (table.home, u32::MAX)));
             }
-            let old = |(_, time): &(&Token, &Time)| now.since(**time) > MEMORY;
+            let old = |(_, time): &(&Token, &Time)| now.since(**time) > TABLE_RETENTION;
             let tokens: Vec<_> =
-                moves.foreign.iter().filter(old).map(|(token, _)| *token).collect();
+                handovers.foreign_tokens.iter().filter(old).map(|(token, _)| *token).collect();
             for token in tokens {
-                moves.foreign.remove(&token);
+                handovers.foreign_tokens.remove(&token);
                 forgotten.push((token.home, token.epoch.saturating_add(1)));
             }
         }
--- a/components/dispatch/src/entry/ask.rs
+++ b/components/dispatch/src/entry/forwarded.rs
@@ -1,6 +1,6 @@
 //! Requests that were sent on to another entry.
 
-use crate::{Message, message::Request};
+use crate::{Message, message::RequestId};
 use rustc_hash::FxHashMap;
 use site::{
     id::{FirmId, Home, SubmissionId, WaiterId},
@@ -14,14 +14,14 @@
 };
 
 /// How long a status or a cancellation is waited for.
-pub(super) const ASK_LIMIT: Span = Span::from_secs(5);
+pub(super) const STATUS_TIME_LIMIT: Span = Span::from_secs(5);
 
 /// How long after a caller's deadline the home's own final answer is waited for.
-pub(super) const GRACE: Span = Span::from_millis(20);
+pub(super) const ANSWER_GRACE: Span = Span::from_millis(20);
 
 /// What a caller asks of a home.
 #[derive(Clone, Debug)]
-pub(super) enum Ask {
+pub(super) enum Request {
     /// Submit, or submit again.
     Submit(Arc<Submission>),
     /// Wait for the answer.
@@ -32,41 +32,47 @@
     Query { id: SubmissionId, firm: FirmId },
 }
 
-impl Ask {
+impl Request {
     pub(super) fn id(&self) -> SubmissionId {
         match self {
-            Ask::Submit(submission) => submission.id,
-            Ask::Fetch { id, .. } | Ask::Cancel { id, .. } | Ask::Query { id, .. } => *id,
+            Request::Submit(submission) => submission.id,
+            Request::Fetch { id, .. } | Request::Cancel { id, .. } | Request::Query { id, .. } => {
+                *id
+            }
         }
     }
 
     pub(super) fn firm(&self) -> FirmId {
         match self {
-            Ask::Submit(submission) => submission.firm,
-            Ask::Fetch { firm, .. } | Ask::Cancel { firm, .. } | Ask::Query { firm, .. } => *firm,
+            Request::Submit(submission) => submission.firm,
+            Request::Fetch { firm, .. }
+            | Request::Cancel { firm, .. }
+            | Request::Query { firm, .. } => *firm,
         }
     }
 
     /// The message, with what is left until the caller's deadline.
-    pub(super) fn message(&self, request: Request, deadline: Span) -> Message {
+    pub(super) fn message(&self, request: RequestId, deadline: Span) -> Message {
         match self {
-            Ask::Submit(submission) => {
+            Request::Submit(submission) => {
                 let mut submission = submission.clone();
                 if submission.deadline > deadline {
                     Arc::make_mut(&mut submission).deadline = deadline;
                 }
                 Message::Submit { request, submission }
             }
-            Ask::Fetch { id, firm } => Message::Fetch { request, id: *id, firm: *firm, deadline },
-            Ask::Cancel { id, firm } => Message::Cancel { request, id: *id, firm: *firm },
-            Ask::Query { id, firm } => Message::Query { request, id: *id, firm: *firm },
+            Request::Fetch { id, firm } => {
+                Message::Fetch { request, id: *id, firm: *firm, deadline }
+            }
+            Request::Cancel { id, firm } => Message::Cancel { request, id: *id, firm: *firm },
+            Request::Query { id, firm } => Message::Query { request, id: *id, firm: *firm },
         }
     }
 
     /// Whether another entry may run it once its home is gone.
-    pub(super) fn may_move(&self) -> bool {
+    pub(super) fn may_run_elsewhere(&self) -> bool {
         match self {
-            Ask::Submit(s) => s.kind == Kind::Single && s.repeatable,
+            Request::Submit(s) => s.kind == Kind::Single && s.repeatable,
             _ => false,
         }
     }
@@ -74,27 +80,27 @@
 
 /// A request that was sent on and has no answer yet.
 #[derive(Clone, Debug)]
-pub(super) struct Route {
+pub(super) struct ForwardedRequest {
     pub(super) waiter: WaiterId,
-    pub(super) ask: Ask,
+    pub(super) ask: Request,
     pub(super) to: Home,
     pub(super) deadline: Time,
 }
 
 /// All requests that were sent on.
 #[derive(Debug, Default)]
-pub(super) struct Routes {
-    last: Request,
-    open: FxHashMap<Request, Route>,
+pub(super) struct ForwardedRequests {
+    last: RequestId,
+    open: FxHashMap<RequestId, ForwardedRequest>,
     /// By home, to find what a change of the home concerns.
-    pub(super) by_home: FxHashMap<Home, BTreeSet<Request>>,
+    pub(super) by_home: FxHashMap<Home, BTreeSet<RequestId>>,
     /// By caller.
-    by_waiter: FxHashMap<WaiterId, Request>,
-    deadlines: BinaryHeap<Reverse<(Time, Request)>>,
+    by_waiter: FxHashMap<WaiterId, RequestId>,
+    deadlines: BinaryHeap<Reverse<(Time, RequestId)>>,
 }
 
-impl Routes {
-    pub(super) fn add(&mut self, route: Route) -> Request {
+impl ForwardedRequests {
+    pub(super) fn add(&mut self, route: ForwardedRequest) -> RequestId {
         self.last += 1;
         let request = self.last;
         self.deadlines.push(Reverse((route.deadline, request)));
@@ -104,7 +110,7 @@
         request
     }
 
-    pub(super) fn remove(&mut self, request: Request) -> Option<Route> {
+    pub(super) fn remove(&mut self, request: RequestId) -> Option<ForwardedRequest> {
         let route = self.open.remove(&request)?;
         self.by_waiter.remove(&route.waiter);
         if let Some(requests) = self.by_home.get_mut(&route.to) {
@@ -133,12 +139,12 @@
         self.open.len()
     }
 
-    pub(super) fn take_home(&mut self, home: Home) -> Vec<Route> {
+    pub(super) fn take_home(&mut self, home: Home) -> Vec<ForwardedRequest> {
         let requests = self.by_home.get(&home).cloned().unwrap_or_default();
         requests.into_iter().filter_map(|request| self.remove(request)).collect()
     }
 
-    pub(super) fn take_due(&mut self, now: Time) -> Vec<Route> {
+    pub(super) fn take_due(&mut self, now: Time) -> Vec<ForwardedRequest> {
         let mut due = Vec::new();
         while let Some(Reverse((deadline, request))) = self.deadlines.peek().copied() {
             if deadline > now {
--- a/components/dispatch/src/entry/keyed.rs
+++ b/components/dispatch/src/entry/keyed.rs
@@ -5,7 +5,7 @@
     Entry,
     submit::{may_have_run, not_run},
 };
-use crate::{Action, event::Claim};
+use crate::{Action, event::ClaimResult};
 use compact_str::CompactString;
 use ledger::Waiter;
 use rustc_hash::FxHashMap;
@@ -20,11 +20,11 @@
 const PLATFORM_RETRY_AFTER: Span = Span::from_secs(2);
 
 /// Longest wait for a claim.
-const CLAIM_LIMIT: Span = Span::from_secs(2);
+const CLAIM_TIME_LIMIT: Span = Span::from_secs(2);
 
 /// A keyed submission that has no answer yet.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct KeyedSubmission {
     key: CompactString,
     first: bool,
     submission: Arc<Submission>,
@@ -36,7 +36,7 @@
 }
 
 /// All keyed submissions without an answer, by caller.
-pub(super) type Claims = FxHashMap<WaiterId, Pending>;
+pub(super) type Claims = FxHashMap<WaiterId, KeyedSubmission>;
 
 impl Entry {
     /// Finds out what the key stands for, and submits under that.
@@ -50,14 +50,15 @@
         out: &mut Vec<Action>,
     ) {
         let deadline = now + submission.deadline;
-        let pending = Pending { key, first, submission, deadline, taken: None, replaced: false };
+        let pending =
+            KeyedSubmission { key, first, submission, deadline, taken: None, replaced: false };
         self.claim(waiter, pending, None, out);
     }
 
     fn claim(
         &self,
         waiter: WaiterId,
-        pending: Pending,
+        pending: KeyedSubmission,
         replaces: Option<SubmissionId>,
         out: &mut Vec<Action>,
     ) {
@@ -68,7 +69,7 @@
             key: pending.key.clone(),
             id: submission.id,
             replaces,
-            time_limit: submission.deadline.min(CLAIM_LIMIT),
+            time_limit: submission.deadline.min(CLAIM_TIME_LIMIT),
         });
         self.claims.lock().insert(waiter, pending);
     }
@@ -78,7 +79,7 @@
         &self,
         now: Time,
         waiter: WaiterId,
-        result: Claim,
+        result: ClaimResult,
         out: &mut Vec<Action>,
     ) {
         let Some(mut pending) = self.claims.lock().remove(&waiter) else {
@@ -88,12 +89,12 @@
         let submission = Arc::make_mut(&mut pending.submission);
         submission.deadline = left;
         match result {
-            Claim::Won(id) => submission.id = id,
-            Claim::Taken(id) => {
+            ClaimResult::Won(id) => submission.id = id,
+            ClaimResult::Taken(id) => {
                 pending.taken = Some(id);
                 submission.id = id;
             }
-            Claim::Out => return self.refuse_unclaimed(now, waiter, &pending, out),
+            ClaimResult::Unavailable => return self.reject_unclaimed(now, waiter, &pending, out),
         }
         let submission = pending.submission.clone();
         if pending.taken.is_some() {
@@ -103,11 +104,11 @@
     }
 
     /// Nothing was admitted here; whether the key was used before is not known.
-    fn refuse_unclaimed(
+    fn reject_unclaimed(
         &self,
         now: Time,
         waiter: WaiterId,
-        pending: &Pending,
+        pending: &KeyedSubmission,
         out: &mut Vec<Action>,
     ) {
         let failure = match pending.first {
@@ -115,7 +116,7 @@
             false => may_have_run(Reason::PlatformOut, Some(PLATFORM_RETRY_AFTER)),
         };
         let submission = &pending.submission;
-        self.refuse(now, Waiter::Caller(waiter), submission.id, submission.firm, failure, out);
+        self.reject(now, Waiter::Caller(waiter), submission.id, submission.firm, failure, out);
     }
 
     /// Gives a caller its answer, unless its key stands for a submission that was refused for
@@ -129,8 +130,9 @@
         out: &mut Vec<Action>,
     ) {
         let pending = self.claims.lock().remove(&waiter);
-        let refused = pending.filter(|p| p.taken == Some(id) && !p.replaced && is_refused(&answer));
-        let Some(mut pending) = refused.filter(|p| p.deadline > now) else {
+        let rejected =
+            pending.filter(|p| p.taken == Some(id) && !p.replaced && is_rejected(&answer));
+        let Some(mut pending) = rejected.filter(|p| p.deadline > now) else {
             return out.push(Action::Answer { waiter, id, answer });
         };
         pending.replaced = true;
@@ -151,7 +153,7 @@
     }
 }
 
-fn is_refused(answer: &Answer) -> bool {
+fn is_rejected(answer: &Answer) -> bool {
     let Answer::Failed(Failure { outcome: Outcome::NotRun, reason, .. }) = answer else {
         return false;
     };
--- a/components/dispatch/src/entry/members.rs
+++ b/components/dispatch/src/entry/members.rs
@@ -9,10 +9,10 @@
 };
 
 /// Most peers whose epochs are remembered.
-const MAX_EPOCHS: usize = 1_024;
+const MAX_PEER_EPOCHS: usize = 1_024;
 
 /// Most homes that a heartbeat names.
-const MAX_ADOPTED: usize = 64;
+const MAX_HEARTBEAT_TABLES: usize = 64;
 
 impl Entry {
     /// The token that callers make identifiers with now: that of an entry that places tasks.
@@ -29,7 +29,7 @@
 
     /// The entry of the cluster that runs what has lost its home; the same for all that agree on
     /// who is live.
-    pub(super) fn runner(&self, place: EndpointId) -> Option<Home> {
+    pub(super) fn substitute_for(&self, place: EndpointId) -> Option<Home> {
         View::keeper_among(&self.roles.read().near, place)
     }
 
@@ -39,24 +39,30 @@
     }
 
     /// Any message is a sign of life.
-    pub(super) fn hear(&self, now: Time, from: Home, message: &Message, out: &mut Vec<Action>) {
+    pub(super) fn record_contact(
+        &self,
+        now: Time,
+        from: Home,
+        message: &Message,
+        out: &mut Vec<Action>,
+    ) {
         let draining = matches!(message, Message::Heartbeat(beat) if beat.draining);
         let changed = self.members.lock().hear(now, from, draining);
         if changed {
-            self.rekey(now, out);
+            self.update_members(now, out);
         }
         if changed && draining {
-            self.hand_over_again(now, from, out);
+            self.restart_handover(now, from, out);
         }
     }
 
     /// Takes notice of a sign of life and what it says.
-    pub(super) fn heartbeat(&self, from: Home, beat: &Heartbeat, out: &mut Vec<Action>) {
+    pub(super) fn receive_heartbeat(&self, from: Home, beat: &Heartbeat, out: &mut Vec<Action>) {
         self.roles.write().epochs.insert(from, beat.epoch);
         // A stopping entry's tables are on their way to another.
         if !beat.draining {
-            let mut moves = self.moves.lock();
-            beat.adopted.iter().for_each(|home| moves.moved(*home, from));
+            let mut handovers = self.handovers.lock();
+            beat.adopted.iter().for_each(|home| handovers.record_successor(*home, from));
         }
         let have = self.revision();
         if beat.revision > have {
@@ -67,13 +73,13 @@
     /// A connection came up: what the peer may not have got is sent again.
     pub(super) fn peer_up(&self, now: Time, peer: Home, out: &mut Vec<Action>) {
         self.members.lock().connected(now, peer);
-        self.rekey(now, out);
+        self.update_members(now, out);
         for pool in self.all_pools() {
             pool.lock().peer_up(peer, out);
         }
-        out.push(Action::Send { to: peer, message: self.sign_of_life() });
+        out.push(Action::Send { to: peer, message: self.heartbeat_message() });
         self.reroute(now, peer, out);
-        self.hand_over_again(now, peer, out);
+        self.restart_handover(now, peer, out);
     }
 
     /// A connection is lost.
@@ -83,16 +89,16 @@
             pool.lock().peer_down(now, peer, out);
         }
         if changed {
-            self.rekey(now, out);
+            self.update_members(now, out);
         }
-        self.hand_over_again(now, peer, out);
-        self.arm_members();
+        self.restart_handover(now, peer, out);
+        self.schedule_member_tick();
     }
 
     /// Takes notice of the entries registered with the platform.
     pub(super) fn registry(&self, now: Time, entries: &[Home], out: &mut Vec<Action>) {
         let changed = self.members.lock().registered(now, entries);
-        self.after_change(now, changed, out);
+        self.apply_changes(now, changed, out);
     }
 
     /// Takes notice of the platform's list of VMs.
@@ -107,30 +113,30 @@
             pool.lock().list_leaving(now, leaving, out);
         }
         let changed = self.members.lock().machines_gone(gone);
-        self.after_change(now, changed, out);
+        self.apply_changes(now, changed, out);
     }
 
-    pub(super) fn after_change(&self, now: Time, changed: bool, out: &mut Vec<Action>) {
+    pub(super) fn apply_changes(&self, now: Time, changed: bool, out: &mut Vec<Action>) {
         if changed {
-            self.rekey(now, out);
+            self.update_members(now, out);
         }
         self.reroute_gone(now, out);
-        self.arm_members();
+        self.schedule_member_tick();
     }
 
     /// Moves on what waits for homes that are gone.
     fn reroute_gone(&self, now: Time, out: &mut Vec<Action>) {
         for home in self.routed_homes() {
             let status = self.members.lock().status(now, home);
-            if status == Status::Gone || self.moves.lock().successor(home).is_some() {
+            if status == Status::Gone || self.handovers.lock().successor(home).is_some() {
                 self.reroute(now, home, out);
             }
         }
     }
 
     /// Has every pool take over who the members are.
-    pub(super) fn rekey(&self, now: Time, out: &mut Vec<Action>) {
-        let _one_at_a_time = self.reshaping.lock();
+    pub(super) fn update_members(&self, now: Time, out: &mut Vec<Action>) {
+        let _one_at_a_time = self.reconfiguring.lock();
         let index = self.index();
         let roles = {
             let members = self.members.lock();
@@ -154,31 +160,31 @@
         };
         for pool in self.all_pools() {
             let mut pool = pool.lock();
-            pool.rekey(now, &members, out);
-            self.arm(pool.next_timer());
+            pool.apply_members(now, &members, out);
+            self.schedule_tick(pool.next_timer());
         }
         let mut current = self.roles.write();
         let mut epochs = std::mem::take(&mut current.epochs);
-        if epochs.len() > MAX_EPOCHS {
+        if epochs.len() > MAX_PEER_EPOCHS {
             epochs.retain(|home, _| roles.near.contains(home));
         }
         *current = Roles { epochs, ..roles };
     }
 
     /// Sends the heartbeats that are due, and notices changes that nothing told of.
-    pub(super) fn beat(&self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn send_heartbeats(&self, now: Time, out: &mut Vec<Action>) {
         let mut due = self.members.lock().due_heartbeats(now);
         if due.is_empty() {
             return;
         }
         let roles = Roles::new(&self.members.lock(), &self.index(), self.home);
         if !self.roles.read().is_same(&roles) {
-            self.rekey(now, out);
+            self.update_members(now, out);
         }
-        due.extend(self.watched());
+        due.extend(self.role_peers());
         due.sort_unstable();
         due.dedup();
-        let message = self.sign_of_life();
+        let message = self.heartbeat_message();
         for to in due {
             out.push(Action::Send { to, message: message.clone() });
         }
@@ -186,7 +192,7 @@
 
     /// Peers besides the membership's own: the entries that place tasks and all others near them
     /// hear from each other.
-    fn watched(&self) -> Vec<Home> {
+    fn role_peers(&self) -> Vec<Home> {
         let roles = self.roles.read();
         let watched = match roles.leads.contains(&self.home) {
             true => &roles.near,
@@ -195,15 +201,15 @@
         watched.iter().copied().filter(|home| *home != self.home).collect()
     }
 
-    pub(super) fn sign_of_life(&self) -> Message {
-        let adopted = self.moves.lock().adopted(MAX_ADOPTED);
+    pub(super) fn heartbeat_message(&self) -> Message {
+        let adopted = self.handovers.lock().held_homes(MAX_HEARTBEAT_TABLES);
         let draining = self.is_draining();
         let (revision, epoch) = (self.revision(), self.own_token().epoch);
         Message::Heartbeat(Heartbeat { revision, epoch, draining, adopted })
     }
 
-    pub(super) fn arm_members(&self) {
+    pub(super) fn schedule_member_tick(&self) {
         let due = self.members.lock().next_timer();
-        self.arm(due);
+        self.schedule_tick(due);
     }
 }
--- a/components/dispatch/src/entry/mod.rs
+++ b/components/dispatch/src/entry/mod.rs
@@ -1,11 +1,11 @@
 //! The facade over an entry's whole logic.
 
 mod answer;
-mod ask;
 mod drain;
+mod forwarded;
+mod handovers;
 mod keyed;
 mod members;
-mod moves;
 mod pools;
 mod roles;
 mod route;
@@ -13,7 +13,7 @@
 mod timer;
 mod view;
 
-pub use view::{JobView, Overview, PeerView};
+pub use view::{Overview, PeerView, PoolView};
 
 use crate::{Action, Event, Message, index::Index};
 use ledger::{Table, Waiter};
@@ -30,7 +30,7 @@
 };
 
 /// Shards of the table of submissions.
-const SHARDS: usize = 16;
+const SHARD_COUNT: usize = 16;
 
 /// Length of an epoch of submission identifiers.
 pub const EPOCH: Span = Span::from_secs(15);
@@ -39,11 +39,11 @@
 pub const EPOCHS: u32 = 8;
 
 /// Capacity, in slots, for each entry that places tasks, unless told otherwise.
-pub const SLOTS_PER_LEAD: u32 = 2_000;
+pub const DEFAULT_SLOTS_PER_LEAD: u32 = 2_000;
 
 /// Silence after which this process must have been paused. Shorter than the silence after which
 /// others take it for unreachable.
-const PAUSE: Span = Span::from_millis(1_400);
+const PAUSE_THRESHOLD: Span = Span::from_millis(1_400);
 
 /// What an entry is told at its start.
 #[derive(Clone, Debug)]
@@ -80,23 +80,23 @@
     pools: RwLock<pools::Pools>,
     members: Mutex<View>,
     roles: RwLock<roles::Roles>,
-    routes: Mutex<ask::Routes>,
+    routes: Mutex<forwarded::ForwardedRequests>,
     claims: Mutex<keyed::Claims>,
-    moves: Mutex<moves::Moves>,
+    handovers: Mutex<handovers::Handovers>,
     draining: AtomicBool,
     /// Held while members or settings are carried over to the pools, so that the latest win.
-    reshaping: Mutex<()>,
+    reconfiguring: Mutex<()>,
     /// Calls of [`Entry::handle`] that go on now.
-    handling: AtomicUsize,
+    active_calls: AtomicUsize,
     /// When the latest event was handled.
-    latest: AtomicU64,
+    last_event: AtomicU64,
     /// When this process was last seen to have been paused; zero when never.
-    woke: AtomicU64,
+    last_pause: AtomicU64,
     /// Numbers the jobs.
-    jobs: AtomicU64,
+    next_job_number: AtomicU64,
     epoch: AtomicU32,
     /// When a tick is due; never later than the truth.
-    timer: AtomicU64,
+    next_tick: AtomicU64,
 }
 
 impl Entry {
@@ -105,27 +105,27 @@
         let (site, revision) = (options.site, options.revision);
         let index =
             Index::new(site.clone(), revision, options.home.data_centre, options.slots_per_lead);
-        let table = || Mutex::new(Table::new(options.answer_bytes / SHARDS));
+        let table = || Mutex::new(Table::new(options.answer_bytes / SHARD_COUNT));
         let entry = Entry {
             home: options.home,
             seed: options.seed,
             slots_per_lead: options.slots_per_lead,
             index: RwLock::new(Arc::new(index)),
-            shards: std::iter::repeat_with(table).take(SHARDS).collect(),
+            shards: std::iter::repeat_with(table).take(SHARD_COUNT).collect(),
             pools: RwLock::default(),
             members: Mutex::new(View::new(options.home, options.membership)),
             roles: RwLock::default(),
             routes: Mutex::default(),
             claims: Mutex::default(),
-            moves: Mutex::default(),
+            handovers: Mutex::default(),
             draining: AtomicBool::new(false),
-            reshaping: Mutex::default(),
-            handling: AtomicUsize::new(0),
-            latest: AtomicU64::new(0),
-            woke: AtomicU64::new(0),
-            jobs: AtomicU64::new(1),
+            reconfiguring: Mutex::default(),
+            active_calls: AtomicUsize::new(0),
+            last_event: AtomicU64::new(0),
+            last_pause: AtomicU64::new(0),
+            next_job_number: AtomicU64::new(1),
             epoch: AtomicU32::new(0),
-            timer: AtomicU64::new(0),
+            next_tick: AtomicU64::new(0),
         };
         entry.configure(Time(0), revision, site, &mut Vec::new());
         entry
@@ -158,24 +158,24 @@
 
     /// Takes notice of `event` and appends what must be done, in order.
     pub fn handle(&self, now: Time, event: Event, out: &mut Vec<Action>) {
-        self.handling.fetch_add(1, Ordering::SeqCst);
-        self.notice_pause(now);
+        self.active_calls.fetch_add(1, Ordering::SeqCst);
+        self.detect_pause(now);
         self.dispatch(now, event, out);
-        self.handling.fetch_sub(1, Ordering::SeqCst);
+        self.active_calls.fetch_sub(1, Ordering::SeqCst);
     }
 
     /// Ticks come at least every second, so a longer silence means that the process was paused.
-    fn notice_pause(&self, now: Time) {
-        let before = Time(self.latest.fetch_max(now.0, Ordering::Relaxed));
-        if before > Time(0) && now.since(before) > PAUSE {
-            self.woke.fetch_max(now.0, Ordering::Relaxed);
+    fn detect_pause(&self, now: Time) {
+        let before = Time(self.last_event.fetch_max(now.0, Ordering::Relaxed));
+        if before > Time(0) && now.since(before) > PAUSE_THRESHOLD {
+            self.last_pause.fetch_max(now.0, Ordering::Relaxed);
         }
     }
 
     /// Whether a pause lies within the time for which submissions are remembered.
     fn was_paused(&self) -> bool {
-        let woke = Time(self.woke.load(Ordering::Relaxed));
-        let now = Time(self.latest.load(Ordering::Relaxed));
+        let woke = Time(self.last_pause.load(Ordering::Relaxed));
+        let now = Time(self.last_event.load(Ordering::Relaxed));
         woke > Time(0) && now.since(woke) <= Span(EPOCH.0 * u64::from(EPOCHS))
     }
 
@@ -212,7 +212,7 @@
     }
 
     fn receive(&self, now: Time, from: Home, message: Message, out: &mut Vec<Action>) {
-        self.hear(now, from, &message, out);
+        self.record_contact(now, from, &message, out);
         match message {
             Message::Submit { request, submission } => {
                 self.submit(now, Waiter::Peer { home: from, request }, submission, out);
@@ -226,17 +226,17 @@
             Message::Query { request, id, firm } => {
                 self.query(now, Waiter::Peer { home: from, request }, id, firm, out);
             }
-            Message::Progress { request, status } => self.progressed(request, status, out),
-            Message::Answered { request, answer } => self.answered(now, request, answer, out),
-            Message::Want(_)
+            Message::Progress { request, status } => self.receive_progress(request, status, out),
+            Message::Answered { request, answer } => self.receive_answer(now, request, answer, out),
+            Message::CapacityRequest(_)
             | Message::Lend(_)
             | Message::Return(_)
-            | Message::Holding(_)
-            | Message::Usage(_) => self.share(now, from, message, out),
-            Message::Heartbeat(heartbeat) => self.heartbeat(from, &heartbeat, out),
-            Message::Handover(part) => self.adopt(now, from, part, out),
-            Message::HandoverStored { home, part } => self.stored(now, from, home, part, out),
-            Message::Moved { home, successor } => self.moved(now, home, successor, out),
+            | Message::InUse(_)
+            | Message::Usage(_) => self.handle_capacity_message(now, from, message, out),
+            Message::Heartbeat(heartbeat) => self.receive_heartbeat(from, &heartbeat, out),
+            Message::Handover(part) => self.receive_handover(now, from, part, out),
+            Message::HandoverStored { home, part } => self.part_stored(now, from, home, part, out),
+            Message::Moved { home, successor } => self.table_moved(now, home, successor, out),
             // Settings travel as files, which the process around this logic reads and checks.
             Message::SettingsWanted { .. } | Message::Settings { .. } => {}
         }
@@ -248,16 +248,16 @@
 
     fn shard(&self, id: SubmissionId) -> &Mutex<Table> {
         let (high, low) = id.unique.as_u64_pair();
-        &self.shards[((high ^ low) as usize) % SHARDS]
+        &self.shards[((high ^ low) as usize) % SHARD_COUNT]
     }
 
     /// Has [`Event::Tick`] sent at `time` or before.
-    fn arm(&self, time: Time) {
-        self.timer.fetch_min(time.0, Ordering::Relaxed);
+    fn schedule_tick(&self, time: Time) {
+        self.next_tick.fetch_min(time.0, Ordering::Relaxed);
     }
 
     /// When [`Event::Tick`] is due next; [`Time::NEVER`] when nothing is waited for.
     pub fn next_timer(&self) -> Time {
-        Time(self.timer.load(Ordering::Relaxed))
+        Time(self.next_tick.load(Ordering::Relaxed))
     }
 }
--- a/components/dispatch/src/entry/pools.rs
+++ b/components/dispatch/src/entry/pools.rs
@@ -5,7 +5,7 @@
     Action, Message,
     event::Report,
     index::Index,
-    pool::{Ended, Pool, pool_number},
+    pool::{Effect, Pool, pool_number},
 };
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
@@ -58,7 +58,7 @@
         site: Arc<Site>,
         out: &mut Vec<Action>,
     ) {
-        let reshaping = self.reshaping.lock();
+        let reconfiguring = self.reconfiguring.lock();
         let index =
             Arc::new(Index::new(site, revision, self.home.data_centre, self.slots_per_lead));
         {
@@ -79,8 +79,8 @@
         for pool in self.all_pools() {
             pool.lock().configure(index.clone());
         }
-        drop(reshaping);
-        self.rekey(now, out);
+        drop(reconfiguring);
+        self.update_members(now, out);
     }
 
     /// Takes notice of the end of an attempt.
@@ -92,17 +92,17 @@
         let ended = {
             let mut pool = pool.lock();
             let ended = pool.report(now, report, out);
-            self.arm(pool.next_timer());
+            self.schedule_tick(pool.next_timer());
             ended
         };
         match ended {
-            Ended::Output(job, index, output) => {
+            Effect::Output(job, index, output) => {
                 let id = job.submission.id;
                 let finish = self.shard(id).lock().store(id, index, output);
                 self.deliver(now, id, finish, out);
             }
-            Ended::Failed(job, failure) => self.fail(now, &job, failure, out),
-            Ended::Nothing => {}
+            Effect::Failed(job, failure) => self.fail(now, &job, failure, out),
+            Effect::Nothing => {}
         }
     }
 
@@ -116,11 +116,17 @@
     }
 
     /// Takes notice of a message about shared capacity.
-    pub(super) fn share(&self, now: Time, from: Home, message: Message, out: &mut Vec<Action>) {
+    pub(super) fn handle_capacity_message(
+        &self,
+        now: Time,
+        from: Home,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         let key = match &message {
-            Message::Want(want) => want.service,
+            Message::CapacityRequest(want) => want.service,
             Message::Lend(lend) => lend.service,
-            Message::Return(back) | Message::Holding(back) => back.service,
+            Message::Return(back) | Message::InUse(back) => back.service,
             Message::Usage(usage) => usage.service,
             _ => return,
         };
@@ -129,13 +135,13 @@
         };
         let mut pool = pool.lock();
         match message {
-            Message::Want(want) => pool.hear(now, from, want, out),
+            Message::CapacityRequest(want) => pool.receive_request(now, from, want, out),
             Message::Lend(lend) => pool.borrow(now, from, lend, out),
-            Message::Return(back) => pool.take_back(now, from, &back.grants, out),
-            Message::Holding(back) => pool.acknowledge(now, from, &back.grants, out),
-            Message::Usage(usage) => pool.hear_usage(now, from, &usage, out),
+            Message::Return(back) => pool.reclaim(now, from, &back.grants, out),
+            Message::InUse(back) => pool.record_lent(now, from, &back.grants, out),
+            Message::Usage(usage) => pool.receive_usage(now, from, &usage, out),
             _ => {}
         }
-        self.arm(pool.next_timer());
+        self.schedule_tick(pool.next_timer());
     }
 }
--- a/components/dispatch/src/entry/roles.rs
+++ b/components/dispatch/src/entry/roles.rs
@@ -41,7 +41,7 @@
         let distant = linked.flat_map(live).collect();
         let mut ranked = near.clone();
         ranked.sort_unstable_by_key(|home| Reverse(rank(home)));
-        ranked.truncate(index.leads);
+        ranked.truncate(index.lead_count);
         ranked.sort_unstable();
         let silent: FxHashSet<DataCentreId> = members
             .peers()
--- a/components/dispatch/src/entry/route.rs
+++ b/components/dispatch/src/entry/route.rs
@@ -2,11 +2,11 @@
 
 use super::{
     Entry,
-    ask::{Ask, GRACE, Route},
-    drain::Whereabouts,
+    drain::TableLocation,
+    forwarded::{ANSWER_GRACE, ForwardedRequest, Request},
     submit::{may_have_run, not_run},
 };
-use crate::{Action, Decision, action::Status, message::Request};
+use crate::{Action, Decision, action::Status, message::RequestId};
 use ledger::{Lookup, Waiter};
 use site::{
     id::{EndpointId, Home, SubmissionId, WaiterId},
@@ -25,46 +25,48 @@
         &self,
         now: Time,
         waiter: Waiter,
-        ask: Ask,
+        ask: Request,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
         let id = ask.id();
-        match (self.whereabouts(now, id.home()), waiter) {
-            (Whereabouts::Here, _) => self.ask_adopted(now, waiter, &ask, deadline, out),
-            (Whereabouts::At(to), Waiter::Caller(caller)) => {
+        match (self.locate_table(now, id.home()), waiter) {
+            (TableLocation::Local, _) => {
+                self.answer_from_held_table(now, waiter, &ask, deadline, out)
+            }
+            (TableLocation::Remote(to), Waiter::Caller(caller)) => {
                 self.forward(now, caller, ask, to, deadline, out);
             }
             // A peer that sends it on to an entry which is not its home takes the home for gone.
             // An entry that just started can't know yet, and refused 24 of 24 of these.
-            (Whereabouts::Unreachable, Waiter::Peer { .. }) if ask.may_move() => {
-                self.route_gone(now, waiter, ask, deadline, out);
+            (TableLocation::Unreachable, Waiter::Peer { .. }) if ask.may_run_elsewhere() => {
+                self.route_without_home(now, waiter, ask, deadline, out);
             }
             // A request is sent on once only.
-            (Whereabouts::At(_) | Whereabouts::Unreachable, _) => {
+            (TableLocation::Remote(_) | TableLocation::Unreachable, _) => {
                 let failure = may_have_run(Reason::HomeUnreachable, Some(UNREACHABLE_RETRY_AFTER));
                 self.decline(now, waiter, &ask, failure, out);
             }
-            (Whereabouts::Gone, _) => self.route_gone(now, waiter, ask, deadline, out),
+            (TableLocation::Gone, _) => self.route_without_home(now, waiter, ask, deadline, out),
         }
     }
 
     /// Answers from the table that this entry took over from the submission's home.
-    fn ask_adopted(
+    fn answer_from_held_table(
         &self,
         now: Time,
         waiter: Waiter,
-        ask: &Ask,
+        ask: &Request,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
         let id = ask.id();
-        if let Ask::Submit(submission) = ask {
+        if let Request::Submit(submission) = ask {
             let known = self.shard(id).lock().find(submission, waiter, deadline);
             match known {
                 Some(known) => self.answer_known(now, waiter, submission, known, out),
                 // Another may have run it before this entry was known to keep the table.
-                None if ask.may_move() => self.admit_foreign(now, waiter, submission, out),
+                None if ask.may_run_elsewhere() => self.admit_foreign(now, waiter, submission, out),
                 None => self.decline(now, waiter, ask, self.never_admitted(id), out),
             }
             return;
@@ -80,32 +82,32 @@
 
     /// What is known of an identifier that is not in the whole table of its home.
     fn never_admitted(&self, id: SubmissionId) -> Failure {
-        match self.moves.lock().is_forgotten(id.token) {
+        match self.handovers.lock().is_forgotten(id.token) {
             true => ledger::table::expired(),
             false => not_run(Reason::HomeGone, None),
         }
     }
 
     /// Handles a request whose home is gone without a successor.
-    fn route_gone(
+    fn route_without_home(
         &self,
         now: Time,
         waiter: Waiter,
-        ask: Ask,
+        ask: Request,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
         let id = ask.id();
         let gone = may_have_run(Reason::HomeGone, None);
-        let Ask::Submit(submission) = &ask else {
+        let Request::Submit(submission) = &ask else {
             return self.decline(now, waiter, &ask, gone, out);
         };
-        if !ask.may_move() {
+        if !ask.may_run_elsewhere() {
             return self.decline(now, waiter, &ask, gone, out);
         }
         let (high, low) = id.unique.as_u64_pair();
         let place = EndpointId(high ^ low);
-        let runner = self.runner(place);
+        let runner = self.substitute_for(place);
         match (runner, waiter) {
             (Some(to), Waiter::Caller(caller)) if to != self.home => {
                 self.forward(now, caller, ask, to, deadline, out);
@@ -130,17 +132,17 @@
         &self,
         now: Time,
         waiter: WaiterId,
-        ask: Ask,
+        ask: Request,
         to: Home,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
         let id = ask.id();
-        let route = Route { waiter, ask, to, deadline };
+        let route = ForwardedRequest { waiter, ask, to, deadline };
         let request = self.routes.lock().add(route.clone());
-        self.arm(deadline);
+        self.schedule_tick(deadline);
         out.push(Action::Log(Decision::Forward { id, to }));
-        let message = route.ask.message(request, deadline.since(now) - GRACE);
+        let message = route.ask.message(request, deadline.since(now) - ANSWER_GRACE);
         out.push(Action::Send { to, message });
     }
 
@@ -148,41 +150,41 @@
         &self,
         now: Time,
         waiter: Waiter,
-        ask: &Ask,
+        ask: &Request,
         failure: Failure,
         out: &mut Vec<Action>,
     ) {
         match ask {
-            Ask::Query { .. } => self.tell(waiter, None, out),
-            _ => self.refuse(now, waiter, ask.id(), ask.firm(), failure, out),
+            Request::Query { .. } => self.send_status(waiter, None, out),
+            _ => self.reject(now, waiter, ask.id(), ask.firm(), failure, out),
         }
     }
 
     /// Passes a home's answer on to the caller.
-    pub(super) fn answered(
+    pub(super) fn receive_answer(
         &self,
         now: Time,
-        request: Request,
+        request: RequestId,
         answer: Arc<Answer>,
         out: &mut Vec<Action>,
     ) {
         let route = self.routes.lock().remove(request);
         if let Some(route) = route {
             self.answer(now, Waiter::Caller(route.waiter), route.ask.id(), answer, out);
-            self.drain_on(now, out);
+            self.continue_drain(now, out);
         }
     }
 
     /// Passes a home's status on to the caller.
-    pub(super) fn progressed(
+    pub(super) fn receive_progress(
         &self,
-        request: Request,
+        request: RequestId,
         status: Option<Status>,
         out: &mut Vec<Action>,
     ) {
         let route = self.routes.lock().remove(request);
         if let Some(route) = route {
-            self.tell(Waiter::Caller(route.waiter), status, out);
+            self.send_status(Waiter::Caller(route.waiter), status, out);
         }
     }
 
@@ -191,8 +193,8 @@
     pub(super) fn reroute(&self, now: Time, home: Home, out: &mut Vec<Action>) {
         let routes = self.routes.lock().take_home(home);
         for mut route in routes {
-            if let Ask::Submit(submission) = &mut route.ask {
-                Arc::make_mut(submission).deadline = route.deadline.since(now) - GRACE;
+            if let Request::Submit(submission) = &mut route.ask {
+                Arc::make_mut(submission).deadline = route.deadline.since(now) - ANSWER_GRACE;
             }
             self.route(now, Waiter::Caller(route.waiter), route.ask, route.deadline, out);
         }
--- a/components/dispatch/src/entry/submit.rs
+++ b/components/dispatch/src/entry/submit.rs
@@ -2,7 +2,7 @@
 
 use super::{
     EPOCHS, Entry,
-    ask::{ASK_LIMIT, Ask, GRACE},
+    forwarded::{ANSWER_GRACE, Request, STATUS_TIME_LIMIT},
 };
 use crate::{Action, Decision, action::Status};
 use ledger::{Admission, Job, Lookup, Waiter};
@@ -28,8 +28,8 @@
         if submission.id.home() == self.home {
             self.admit(now, waiter, submission, out);
         } else {
-            let deadline = now + submission.deadline + GRACE;
-            self.route(now, waiter, Ask::Submit(submission), deadline, out);
+            let deadline = now + submission.deadline + ANSWER_GRACE;
+            self.route(now, waiter, Request::Submit(submission), deadline, out);
         }
     }
 
@@ -43,10 +43,10 @@
     ) {
         let id = submission.id;
         let deadline = now + submission.deadline;
-        let number = || self.jobs.fetch_add(1, Ordering::Relaxed);
-        let bar = || self.bar(id);
+        let number = || self.next_job_number.fetch_add(1, Ordering::Relaxed);
+        let bar = || self.admission_rejection(id);
         let admission = self.shard(id).lock().admit(&submission, waiter, deadline, bar, number);
-        self.arm(deadline);
+        self.schedule_tick(deadline);
         if let Admission::New(job) = &admission {
             return self.enqueue(now, job, out);
         }
@@ -68,17 +68,17 @@
             Admission::Finished(answer) => self.answer(now, waiter, id, answer, out),
             Admission::Conflict => {
                 let failure = not_run(Reason::Conflict, None);
-                self.refuse(now, waiter, id, firm, failure, out);
+                self.reject(now, waiter, id, firm, failure, out);
             }
             Admission::Barred(failure) => {
-                let failure = self.qualify(submission, failure);
-                self.refuse(now, waiter, id, firm, failure, out);
+                let failure = self.weaken_failure(submission, failure);
+                self.reject(now, waiter, id, firm, failure, out);
             }
         }
     }
 
     /// Why a submission that is not in the table may not enter it. Ask under the shard's lock.
-    fn bar(&self, id: SubmissionId) -> Option<Failure> {
+    fn admission_rejection(&self, id: SubmissionId) -> Option<Failure> {
         if id.home() == self.home && self.is_expired(id) {
             return Some(ledger::table::expired());
         }
@@ -94,10 +94,10 @@
     /// A failure as it may be told. Of a submission with another home this entry knows only its own
     /// part. What may be run again may have been run by others: while this process was paused and
     /// taken for gone, or by the successor of a stopping one.
-    fn qualify(&self, submission: &Submission, failure: Failure) -> Failure {
+    fn weaken_failure(&self, submission: &Submission, failure: Failure) -> Failure {
         let foreign = submission.id.home() != self.home;
         let away = self.was_paused() || failure.reason == Reason::Draining;
-        let moved = self.may_be_moved(submission) && away;
+        let moved = self.may_run_elsewhere(submission) && away;
         match failure.outcome {
             Outcome::NotRun if foreign || moved => {
                 Failure { outcome: Outcome::MayHaveRun, ..failure }
@@ -106,7 +106,7 @@
         }
     }
 
-    fn may_be_moved(&self, submission: &Submission) -> bool {
+    fn may_run_elsewhere(&self, submission: &Submission) -> bool {
         submission.kind == Kind::Single && submission.repeatable
     }
 
@@ -122,7 +122,7 @@
         let admitted = {
             let mut pool = pool.lock();
             let admitted = pool.submit(now, job, out);
-            self.arm(pool.next_timer());
+            self.schedule_tick(pool.next_timer());
             admitted
         };
         if let Err(failure) = admitted {
@@ -134,7 +134,7 @@
     pub(super) fn fail(&self, now: Time, job: &Job, failure: Failure, out: &mut Vec<Action>) {
         job.close();
         let id = job.submission.id;
-        let failure = self.qualify(&job.submission, failure);
+        let failure = self.weaken_failure(&job.submission, failure);
         let finish = self.shard(id).lock().fail(id, failure);
         if finish.is_some() {
             let firm = job.submission.firm;
@@ -144,7 +144,7 @@
     }
 
     /// Ends an open job: no task of it starts any more.
-    pub(super) fn end(&self, now: Time, job: &Job, reason: Reason, out: &mut Vec<Action>) {
+    pub(super) fn end_job(&self, now: Time, job: &Job, reason: Reason, out: &mut Vec<Action>) {
         let started = match self.pool_of(job.submission.service) {
             Some(pool) => pool.lock().close(job, out),
             None => job.close(),
@@ -168,11 +168,11 @@
             Lookup::Open(_) => {}
             Lookup::Finished(answer) => self.answer(now, waiter, id, answer, out),
             Lookup::Unknown if id.home() == self.home => {
-                self.refuse(now, waiter, id, firm, self.unknown(id), out);
+                self.reject(now, waiter, id, firm, self.unknown(id), out);
             }
             Lookup::Unknown => {
-                let deadline = now + deadline + GRACE;
-                self.route(now, waiter, Ask::Fetch { id, firm }, deadline, out);
+                let deadline = now + deadline + ANSWER_GRACE;
+                self.route(now, waiter, Request::Fetch { id, firm }, deadline, out);
             }
         }
     }
@@ -201,13 +201,13 @@
     ) {
         let found = self.shard(id).lock().lookup(id, firm, Some(waiter));
         match found {
-            Lookup::Open(job) => self.end(now, &job, Reason::Cancelled, out),
+            Lookup::Open(job) => self.end_job(now, &job, Reason::Cancelled, out),
             Lookup::Finished(answer) => self.answer(now, waiter, id, answer, out),
             Lookup::Unknown if id.home() == self.home => {
                 self.cancel_unknown(now, waiter, id, firm, out);
             }
             Lookup::Unknown => {
-                self.route(now, waiter, Ask::Cancel { id, firm }, now + ASK_LIMIT, out);
+                self.route(now, waiter, Request::Cancel { id, firm }, now + STATUS_TIME_LIMIT, out);
             }
         }
     }
@@ -222,7 +222,7 @@
         out: &mut Vec<Action>,
     ) {
         if self.is_expired(id) {
-            return self.refuse(now, waiter, id, firm, ledger::table::expired(), out);
+            return self.reject(now, waiter, id, firm, ledger::table::expired(), out);
         }
         let failure = not_run(Reason::Cancelled, None);
         let arrived = {
@@ -233,7 +233,7 @@
         };
         match arrived {
             true => self.cancel(now, waiter, id, firm, out),
-            false => self.refuse(now, waiter, id, firm, failure, out),
+            false => self.reject(now, waiter, id, firm, failure, out),
         }
     }
 
@@ -248,9 +248,9 @@
     ) {
         let status = self.status(id, firm);
         if status.is_some() || id.home() == self.home {
-            return self.tell(waiter, status, out);
+            return self.send_status(waiter, status, out);
         }
-        self.route(now, waiter, Ask::Query { id, firm }, now + ASK_LIMIT, out);
+        self.route(now, waiter, Request::Query { id, firm }, now + STATUS_TIME_LIMIT, out);
     }
 
     fn status(&self, id: SubmissionId, firm: FirmId) -> Option<Status> {
--- a/components/dispatch/src/entry/timer.rs
+++ b/components/dispatch/src/entry/timer.rs
@@ -9,37 +9,37 @@
 use std::sync::{Arc, atomic::Ordering};
 
 /// A tick is due at least this often.
-const MAX_IDLE: Span = Span::from_secs(1);
+const MAX_TICK_INTERVAL: Span = Span::from_secs(1);
 
 impl Entry {
     /// Does everything that is due, and sets the next time.
     pub(super) fn tick(&self, now: Time, out: &mut Vec<Action>) {
-        self.timer.store((now + MAX_IDLE).0, Ordering::Relaxed);
+        self.next_tick.store((now + MAX_TICK_INTERVAL).0, Ordering::Relaxed);
         self.advance_epoch(now);
-        self.end_due(now, out);
+        self.expire_submissions(now, out);
         self.expire_routes(now, out);
         let changed = self.members.lock().tick(now);
-        self.after_change(now, changed, out);
-        self.beat(now, out);
+        self.apply_changes(now, changed, out);
+        self.send_heartbeats(now, out);
         for pool in self.all_pools() {
             let mut pool = pool.lock();
             pool.tick(now, out);
-            self.arm(pool.next_timer());
+            self.schedule_tick(pool.next_timer());
         }
-        self.forget_old(now);
-        self.drain_on(now, out);
-        self.arm_all();
+        self.forget_old_tables(now);
+        self.continue_drain(now, out);
+        self.schedule_next_tick();
     }
 
     /// Ends the submissions whose deadline has passed.
-    fn end_due(&self, now: Time, out: &mut Vec<Action>) {
+    fn expire_submissions(&self, now: Time, out: &mut Vec<Action>) {
         for shard in &self.shards {
             let (due, waiters) = {
                 let mut shard = shard.lock();
                 (shard.due(now), shard.due_waiters(now))
             };
             for job in due {
-                self.end(now, &job, Reason::Deadline, out);
+                self.end_job(now, &job, Reason::Deadline, out);
             }
             for (id, waiter) in waiters {
                 let failure = may_have_run(Reason::Deadline, None);
@@ -66,11 +66,11 @@
         (self.epoch.load(Ordering::Relaxed) + 1).saturating_sub(EPOCHS)
     }
 
-    fn arm_all(&self) {
+    fn schedule_next_tick(&self) {
         for shard in &self.shards {
-            self.arm(shard.lock().next_deadline());
+            self.schedule_tick(shard.lock().next_deadline());
         }
-        self.arm(self.routes.lock().next_deadline());
-        self.arm_members();
+        self.schedule_tick(self.routes.lock().next_deadline());
+        self.schedule_member_tick();
     }
 }
--- a/components/dispatch/src/entry/view.rs
+++ b/components/dispatch/src/entry/view.rs
@@ -19,14 +19,14 @@
     /// Requests that wait for other entries.
     pub routed: usize,
     /// The pools.
-    pub pools: Vec<JobView>,
+    pub pools: Vec<PoolView>,
     /// Other entries.
     pub peers: Vec<PeerView>,
 }
 
 /// The load of one pool.
 #[derive(Clone, Debug, Serialize)]
-pub struct JobView {
+pub struct PoolView {
     /// The service, or zero for all workers.
     pub service: ServiceId,
     /// Tasks that wait.
@@ -60,7 +60,7 @@
             home: self.home,
             leads: self.leads(),
             draining: self.is_draining(),
-            open: self.open(),
+            open: self.open_submissions(),
             routed: self.routes.lock().len(),
             pools: pools.iter().map(|pool| pool.lock().overview()).collect(),
             peers,
@@ -68,7 +68,7 @@
     }
 
     /// Submissions without an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_submissions(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().open()).sum()
     }
 }
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -101,7 +101,7 @@
         /// The waiter of the claim.
         waiter: WaiterId,
         /// What became of it.
-        result: Claim,
+        result: ClaimResult,
     },
     /// Accepted settings. Older revisions than the current are ignored.
     Settings {
@@ -175,11 +175,11 @@
 
 /// What became of a claim on a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Claim {
+pub enum ClaimResult {
     /// The key now belongs to the proposed identifier.
     Won(SubmissionId),
     /// The key already belonged to this identifier.
     Taken(SubmissionId),
     /// The platform can't be asked, or its answer stays unknown. Nothing was admitted.
-    Out,
+    Unavailable,
 }
--- a/components/dispatch/src/index.rs
+++ b/components/dispatch/src/index.rs
@@ -13,21 +13,21 @@
 use std::{net::SocketAddr, sync::Arc};
 
 /// Names the pool that all worker services share.
-pub(crate) const WORKERS: ServiceId = ServiceId(0);
+pub(crate) const WORKER_POOL: ServiceId = ServiceId(0);
 
 /// Most tasks of one worker; its other resources are exhausted long before.
 const WORKER_SLOTS: Slots = Slots(1_000);
 
 /// Data centres with links up to this latency form one cluster: a task there costs its way, and
 /// asking another entry for capacity costs more.
-const CLUSTER_LATENCY: Span = Span::from_millis(2);
+const MAX_CLUSTER_LATENCY: Span = Span::from_millis(2);
 
 /// Processor capacity, in cores, that counts as a slot.
 const CORES_PER_SLOT: u32 = 1;
 
 /// An endpoint, resolved.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spot {
+pub(crate) struct ResolvedEndpoint {
     /// The pool it belongs to.
     pub(crate) pool: ServiceId,
     /// Where it stands.
@@ -48,9 +48,9 @@
     /// Its version.
     pub(crate) revision: Revision,
     /// Every endpoint.
-    pub(crate) endpoints: FxHashMap<EndpointId, Spot>,
+    pub(crate) endpoints: FxHashMap<EndpointId, ResolvedEndpoint>,
     /// Different capacities that occur in each pool; few.
-    shapes: FxHashMap<ServiceId, Vec<Resources>>,
+    capacities: FxHashMap<ServiceId, Vec<Resources>>,
     /// Endpoints of each pool.
     pub(crate) pools: FxHashMap<ServiceId, Vec<EndpointId>>,
     /// Quota of each contract.
@@ -62,7 +62,7 @@
     /// The own data centre and those near it, sorted. All of them agree on it.
     pub(crate) cluster: Vec<DataCentreId>,
     /// Entries that place tasks in the cluster, if there are as many.
-    pub(crate) leads: usize,
+    pub(crate) lead_count: usize,
 }
 
 impl Index {
@@ -78,12 +78,12 @@
         for service in site.services.values() {
             pools.entry(pool_of(service)).or_default();
         }
-        let mut shapes: FxHashMap<ServiceId, Vec<Resources>> = FxHashMap::default();
-        for (id, spot) in &endpoints {
-            pools.entry(spot.pool).or_default().push(*id);
-            let known = shapes.entry(spot.pool).or_default();
-            if !known.contains(&spot.capacity) {
-                known.push(spot.capacity);
+        let mut capacities: FxHashMap<ServiceId, Vec<Resources>> = FxHashMap::default();
+        for (id, resolved) in &endpoints {
+            pools.entry(resolved.pool).or_default().push(*id);
+            let known = capacities.entry(resolved.pool).or_default();
+            if !known.contains(&resolved.capacity) {
+                known.push(resolved.capacity);
             }
         }
         let contracts = site
@@ -102,18 +102,18 @@
             .filter_map(|dc| Some((*dc, site.latency(own, *dc)?)))
             .collect();
         let cluster = cluster(&site, own);
-        let leads = leads(&endpoints, &cluster, slots_per_lead);
+        let lead_count = lead_count(&endpoints, &cluster, slots_per_lead);
         Index {
             site,
             revision,
             endpoints,
-            shapes,
+            capacities,
             pools,
             contracts,
             crews,
             latency,
             cluster,
-            leads,
+            lead_count,
         }
     }
 
@@ -137,7 +137,7 @@
 
     /// Whether some endpoint of a pool could hold a task when empty.
     pub(crate) fn could_fit(&self, pool: ServiceId, needs: &Resources) -> bool {
-        self.shapes.get(&pool).into_iter().flatten().any(|shape| shape.fits(needs))
+        self.capacities.get(&pool).into_iter().flatten().any(|capacity| capacity.fits(needs))
     }
 
     /// The trade that decisions follow.
@@ -175,24 +175,24 @@
 
     /// Checks what the settings demand of a submission.
     pub(crate) fn check(&self, submission: &Submission) -> Result<(), (Outcome, Reason)> {
-        let refuse = |reason| Err((Outcome::NotRun, reason));
+        let reject = |reason| Err((Outcome::NotRun, reason));
         let Some(service) = self.site.services.get(&submission.service) else {
-            return refuse(Reason::NoContract);
+            return reject(Reason::NoContract);
         };
         if !self.contracts.contains_key(&(submission.firm, submission.service)) {
-            return refuse(Reason::NoContract);
+            return reject(Reason::NoContract);
         }
         let crew = (submission.firm, submission.crew);
         if submission.crew != CrewId::default() && !self.crews.contains(&crew) {
-            return refuse(Reason::NoContract);
+            return reject(Reason::NoContract);
         }
         let tasks = submission.tasks.len();
         if tasks == 0 || tasks > site::submission::MAX_TASKS {
-            return refuse(Reason::Size);
+            return reject(Reason::Size);
         }
         let limit = service.body_limit.0;
         if submission.tasks.iter().any(|task| task.body.len() as u64 > limit) {
-            return refuse(Reason::Size);
+            return reject(Reason::Size);
         }
         Ok(())
     }
@@ -202,13 +202,13 @@
 pub(crate) fn pool_of(service: &Service) -> ServiceId {
     match service.place {
         Place::Executors => ServiceId::of(&service.name),
-        Place::Workers => WORKERS,
+        Place::Workers => WORKER_POOL,
     }
 }
 
 /// The data centres that are joined to `own` by links of small latency, directly or not.
 fn cluster(site: &Site, own: DataCentreId) -> Vec<DataCentreId> {
-    let near = site.links.iter().filter(|link| link.latency <= CLUSTER_LATENCY);
+    let near = site.links.iter().filter(|link| link.latency <= MAX_CLUSTER_LATENCY);
     let ends: Vec<_> =
         near.map(|link| link.between.each_ref().map(|name| DataCentreId::of(name))).collect();
     let mut cluster = vec![own];
@@ -230,40 +230,40 @@
     cluster
 }
 
-fn leads(
-    endpoints: &FxHashMap<EndpointId, Spot>,
+fn lead_count(
+    endpoints: &FxHashMap<EndpointId, ResolvedEndpoint>,
     cluster: &[DataCentreId],
     slots_per_lead: u32,
 ) -> usize {
-    let near = endpoints.values().filter(|spot| cluster.contains(&spot.data_centre));
+    let near = endpoints.values().filter(|resolved| cluster.contains(&resolved.data_centre));
     let slots: u32 = near.map(slots).sum();
     slots.div_ceil(slots_per_lead.max(1)).max(1) as usize
 }
 
-fn slots(spot: &Spot) -> u32 {
-    match spot.pool {
-        WORKERS => spot.capacity.cores.0 / 1_000 / CORES_PER_SLOT,
-        _ => spot.capacity.slots.0,
+fn slots(resolved: &ResolvedEndpoint) -> u32 {
+    match resolved.pool {
+        WORKER_POOL => resolved.capacity.cores.0 / 1_000 / CORES_PER_SLOT,
+        _ => resolved.capacity.slots.0,
     }
 }
 
-fn endpoints(site: &Site) -> FxHashMap<EndpointId, Spot> {
+fn endpoints(site: &Site) -> FxHashMap<EndpointId, ResolvedEndpoint> {
     let executors = site.executors.iter().map(|(id, executor)| {
         let service = ServiceId::of(&executor.service);
         let default = site.services.get(&service).map_or(Slots(0), |s| s.slots);
         let slots = executor.slots.unwrap_or(default);
-        let spot = Spot {
+        let resolved = ResolvedEndpoint {
             pool: service,
             data_centre: DataCentreId::of(&executor.data_centre),
             rack: RackId::default(),
             capacity: Resources { slots, ..Resources::default() },
             leaving: executor.leaving,
         };
-        (*id, spot)
+        (*id, resolved)
     });
     let workers = site.workers.iter().map(|(id, worker)| {
-        let spot = Spot {
-            pool: WORKERS,
+        let resolved = ResolvedEndpoint {
+            pool: WORKER_POOL,
             data_centre: DataCentreId::of(&worker.data_centre),
             rack: RackId::of(&worker.rack),
             capacity: Resources {
@@ -274,7 +274,7 @@
             },
             leaving: worker.leaving,
         };
-        (*id, spot)
+        (*id, resolved)
     });
     executors.chain(workers).collect()
 }
--- a/components/dispatch/src/message.rs
+++ b/components/dispatch/src/message.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// Numbers a request of one entry to another; the answer carries it back.
-pub type Request = u64;
+pub type RequestId = u64;
 
 /// A message between two entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -19,14 +19,14 @@
     /// harmless.
     Submit {
         /// Chosen by the sender.
-        request: Request,
+        request: RequestId,
         /// The submission; its deadline is what is left of it.
         submission: Arc<Submission>,
     },
     /// Wait for the answer of a submission.
     Fetch {
         /// Chosen by the sender.
-        request: Request,
+        request: RequestId,
         /// The submission.
         id: SubmissionId,
         /// Who asks.
@@ -37,7 +37,7 @@
     /// Cancel a submission.
     Cancel {
         /// Chosen by the sender.
-        request: Request,
+        request: RequestId,
         /// The submission.
         id: SubmissionId,
         /// Who asks.
@@ -46,7 +46,7 @@
     /// Ask how far a submission has come. The home answers with [`Message::Progress`].
     Query {
         /// Chosen by the sender.
-        request: Request,
+        request: RequestId,
         /// The submission.
         id: SubmissionId,
         /// Who asks.
@@ -55,26 +55,26 @@
     /// How far a submission has come.
     Progress {
         /// The number of the request.
-        request: Request,
+        request: RequestId,
         /// `None` when the identifier is unknown or another firm's.
         status: Option<Status>,
     },
     /// The final answer to a submission, fetch or cancellation.
     Answered {
         /// The number of the request.
-        request: Request,
+        request: RequestId,
         /// The answer.
         answer: Arc<Answer>,
     },
     /// The sender has tasks without capacity and asks the receiver to lend some.
-    Want(Want),
+    CapacityRequest(CapacityRequest),
     /// The sender lends capacity that it keeps.
     Lend(Lend),
     /// The sender gives back capacity that it borrowed.
-    Return(Giveback),
+    Return(ServiceGrants),
     /// The sender has tasks running on capacity that the receiver keeps since the members of the
     /// data centre changed.
-    Holding(Giveback),
+    InUse(ServiceGrants),
     /// How many tasks of a firm with a quota run at the sender, when it changed.
     Usage(Usage),
     /// The sender lives. Sent at a fixed interval inside a data centre.
@@ -106,7 +106,7 @@
 
 /// A wish for capacity of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct CapacityRequest {
     /// What for.
     pub service: ServiceId,
     /// Tasks queued without capacity; zero withdraws the wish.
@@ -140,7 +140,7 @@
 
 /// Capacity that goes back to its keeper, or that a new keeper must count as lent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Giveback {
+pub struct ServiceGrants {
     /// What it was lent for.
     pub service: ServiceId,
     /// The capacity.
@@ -190,18 +190,18 @@
     /// Whether this is the last part.
     pub last: bool,
     /// The tables that all parts together hold: the sender's own and those that it had taken over.
-    pub tables: Vec<Tabled>,
+    pub tables: Vec<HomeTable>,
     /// Finished submissions.
     pub records: Vec<Record>,
 }
 
 /// A table that changes hands.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tabled {
+pub struct HomeTable {
     /// Whose it was first.
     pub home: Home,
     /// The first epoch that it remembers whole.
-    pub first: u32,
+    pub first_epoch: u32,
 }
 
 /// A finished submission in a handover.
--- a/components/dispatch/src/pool/attempt.rs
+++ b/components/dispatch/src/pool/attempt.rs
@@ -1,6 +1,6 @@
 //! The end of attempts.
 
-use super::{Attempt, Ended, Hold, Item, Pool, observation};
+use super::{Attempt, Effect, Hold, Pool, QueuedTask, observation};
 use crate::{
     Action, Decision,
     action::Cause,
@@ -24,17 +24,17 @@
 
 impl Pool {
     /// Takes notice of the end of an attempt.
-    pub(crate) fn report(&mut self, now: Time, report: Report, out: &mut Vec<Action>) -> Ended {
+    pub(crate) fn report(&mut self, now: Time, report: Report, out: &mut Vec<Action>) -> Effect {
         let Some(attempt) = self.attempts.remove(&report.attempt) else {
-            return Ended::Nothing;
+            return Effect::Nothing;
         };
         self.forget_running(report.attempt, &attempt);
         let firm = attempt.item.job.submission.firm;
         self.placement.release(attempt.endpoint, &attempt.needs);
-        self.observe(now, &attempt, &report, out);
+        self.observe_health(now, &attempt, &report, out);
         let ended = self.conclude(now, attempt, report, out);
-        self.tell_usage(firm, out);
-        self.settle(now, out);
+        self.send_usage(firm, out);
+        self.schedule(now, out);
         ended
     }
 
@@ -58,7 +58,13 @@
         }
     }
 
-    fn observe(&mut self, now: Time, attempt: &Attempt, report: &Report, out: &mut Vec<Action>) {
+    fn observe_health(
+        &mut self,
+        now: Time,
+        attempt: &Attempt,
+        report: &Report,
+        out: &mut Vec<Action>,
+    ) {
         let endpoint = attempt.endpoint;
         let what = observation(&report.reply, report.elapsed, attempt.item.cost);
         let known = health::Attempt {
@@ -66,19 +72,19 @@
             cause: Some(health::Cause(attempt.item.job.number)),
         };
         let change = self.health.observe_attempt(now, endpoint, what, known);
-        self.apply(now, endpoint, change, out);
-        self.reopen(now, endpoint);
+        self.apply_health(now, endpoint, change, out);
+        self.update_open(now, endpoint);
         if report.leaving || report.reply == Reply::Refused(Refusal::Leaving) {
-            self.leave(endpoint, out);
+            self.mark_leaving(endpoint, out);
         }
         if report.reply == Reply::Refused(Refusal::Busy) {
-            self.hold(now, endpoint);
+            self.hold_slot(now, endpoint);
         }
     }
 
     /// Gives an endpoint no new work from now on, since it said that it is leaving.
-    fn leave(&mut self, endpoint: EndpointId, out: &mut Vec<Action>) {
-        if self.said_leaving.insert(endpoint) {
+    fn mark_leaving(&mut self, endpoint: EndpointId, out: &mut Vec<Action>) {
+        if self.reported_leaving.insert(endpoint) {
             let cause = Cause::Leaving;
             out.push(Action::Log(Decision::Isolate { endpoint, open: false, cause }));
         }
@@ -98,11 +104,12 @@
         let fresh: Vec<_> = listed.difference(&self.listed_leaving).copied().collect();
         self.listed_leaving = listed;
         for endpoint in back {
-            self.said_leaving.remove(&endpoint);
-            self.reopen(now, endpoint);
+            self.reported_leaving.remove(&endpoint);
+            self.update_open(now, endpoint);
         }
         for endpoint in fresh {
-            if self.index.endpoints.get(&endpoint).is_some_and(|spot| spot.pool == self.key) {
+            if self.index.endpoints.get(&endpoint).is_some_and(|resolved| resolved.pool == self.key)
+            {
                 let cause = Cause::Leaving;
                 out.push(Action::Log(Decision::Isolate { endpoint, open: false, cause }));
             }
@@ -111,7 +118,7 @@
     }
 
     /// Leaves one task's room of an endpoint unused for a while.
-    fn hold(&mut self, now: Time, endpoint: EndpointId) {
+    fn hold_slot(&mut self, now: Time, endpoint: EndpointId) {
         if self.is_uniform() && self.placement.take(endpoint, &Resources::SLOT) {
             self.holds.push(Reverse(Hold { until: now + BUSY_HOLD, endpoint }));
         }
@@ -123,52 +130,52 @@
         attempt: Attempt,
         report: Report,
         out: &mut Vec<Action>,
-    ) -> Ended {
+    ) -> Effect {
         let verdict = retry::judge(&report.reply, &attempt.item.job.submission);
-        if verdict == Verdict::AgainNotRun {
+        if verdict == Verdict::RetryNotRun {
             attempt.item.job.unstart();
         }
         let key = key_of(&attempt.item);
         if attempt.item.job.is_closed() {
-            self.end(key, &attempt, report.elapsed);
-            return Ended::Nothing;
+            self.finish_task(key, &attempt, report.elapsed);
+            return Effect::Nothing;
         }
         let elapsed = report.elapsed;
         match (verdict, report.reply) {
             (Verdict::Answer, Reply::Done(output)) => {
-                self.end(key, &attempt, elapsed);
-                self.learn(&attempt, elapsed);
-                Ended::Output(attempt.item.job, attempt.item.index, output)
+                self.finish_task(key, &attempt, elapsed);
+                self.update_estimate(&attempt, elapsed);
+                Effect::Output(attempt.item.job, attempt.item.index, output)
             }
-            (Verdict::AgainNotRun | Verdict::AgainRepeat, reply)
-                if self.may_repeat(now, verdict, &attempt.item) =>
+            (Verdict::RetryNotRun | Verdict::RetryRepeatable, reply)
+                if self.may_retry(now, verdict, &attempt.item) =>
             {
-                self.repeat(key, attempt, &reply, out);
-                Ended::Nothing
+                self.retry(key, attempt, &reply, out);
+                Effect::Nothing
             }
             (Verdict::GiveUp(outcome, reason), _) => {
-                self.end(key, &attempt, elapsed);
+                self.finish_task(key, &attempt, elapsed);
                 self.give_up(attempt, outcome, reason, out)
             }
             (_, reply) => {
                 let (outcome, reason) = retry::give_up(&reply);
-                self.end(key, &attempt, elapsed);
+                self.finish_task(key, &attempt, elapsed);
                 self.give_up(attempt, outcome, reason, out)
             }
         }
     }
 
-    fn may_repeat(&mut self, now: Time, verdict: Verdict, item: &Item) -> bool {
+    fn may_retry(&mut self, now: Time, verdict: Verdict, item: &QueuedTask) -> bool {
         if item.attempts >= retry::MAX_ATTEMPTS || now >= item.job.deadline {
             return false;
         }
         match verdict {
-            Verdict::AgainRepeat => self.budget.spend(item.job.submission.firm),
+            Verdict::RetryRepeatable => self.budget.spend(item.job.submission.firm),
             _ => true,
         }
     }
 
-    fn repeat(&mut self, key: Key, attempt: Attempt, reply: &Reply, out: &mut Vec<Action>) {
+    fn retry(&mut self, key: Key, attempt: Attempt, reply: &Reply, out: &mut Vec<Action>) {
         let Attempt { mut item, endpoint, .. } = attempt;
         let task = TaskId { submission: item.job.submission.id, index: item.index };
         out.push(Action::Log(Decision::Retry {
@@ -181,16 +188,16 @@
         if !busy && !item.avoid.contains(&endpoint) {
             item.avoid.push(endpoint);
         }
-        self.put_back(key, item);
+        self.requeue(key, item);
     }
 
     /// Ends a task's part in the queue's accounts.
-    fn end(&mut self, key: Key, attempt: &Attempt, elapsed: Span) {
+    fn finish_task(&mut self, key: Key, attempt: &Attempt, elapsed: Span) {
         self.queue.finish(key.firm, key.crew, attempt.item.charged, elapsed);
-        self.unload(key.firm, attempt.item.job.number, 1);
+        self.remove_open_tasks(key.firm, attempt.item.job.number, 1);
     }
 
-    fn learn(&mut self, attempt: &Attempt, elapsed: Span) {
+    fn update_estimate(&mut self, attempt: &Attempt, elapsed: Span) {
         let key = Self::estimate_key(&attempt.item.job);
         match attempt.measured {
             Some(measured) => self.estimate.observe(key, &attempt.declared, &measured, elapsed),
@@ -204,7 +211,7 @@
         outcome: Outcome,
         reason: Reason,
         out: &mut Vec<Action>,
-    ) -> Ended {
+    ) -> Effect {
         let Attempt { item, endpoint, .. } = attempt;
         let task = TaskId { submission: item.job.submission.id, index: item.index };
         out.push(Action::Log(Decision::Retry {
@@ -221,11 +228,11 @@
         // The answer is final: only what did not run can be tried again, under a new identifier.
         let retry_after = (outcome == Outcome::NotRun).then_some(FAILED_RETRY_AFTER);
         let failure = Failure { outcome, reason, retry_after };
-        Ended::Failed(item.job, failure)
+        Effect::Failed(item.job, failure)
     }
 }
 
-fn key_of(item: &Item) -> Key {
+fn key_of(item: &QueuedTask) -> Key {
     let submission = &item.job.submission;
     Key { firm: submission.firm, crew: submission.crew, job: JobKey(item.job.number) }
 }
--- a/components/dispatch/src/pool/typical.rs
+++ b/components/dispatch/src/pool/average.rs
@@ -3,11 +3,11 @@
 use site::unit::{Accelerators, Cores, Memory, Resources};
 
 /// Part of the average that each task replaces.
-const STEP: f64 = 0.01;
+const MIN_AVERAGE_STEP: f64 = 0.01;
 
 /// A moving average of what tasks were given.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Typical {
+pub(super) struct AverageNeeds {
     /// Tasks so far, as far as they matter to the average.
     count: u32,
     cores: f64,
@@ -15,11 +15,11 @@
     accelerators: f64,
 }
 
-impl Typical {
+impl AverageNeeds {
     /// Takes a task into the average.
     pub(super) fn observe(&mut self, needs: &Resources) {
         self.count = self.count.saturating_add(1);
-        let step = STEP.max(1.0 / f64::from(self.count));
+        let step = MIN_AVERAGE_STEP.max(1.0 / f64::from(self.count));
         let toward = |old: f64, new: f64| old + (new - old) * step;
         self.cores = toward(self.cores, f64::from(needs.cores.0));
         self.memory = toward(self.memory, needs.memory.0 as f64);
--- a/components/dispatch/src/pool/lend.rs
+++ b/components/dispatch/src/pool/lend.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     Action, Decision, Message,
-    message::{Giveback, Grant, Lend},
+    message::{Grant, Lend, ServiceGrants},
 };
 use site::{
     id::{EndpointId, Home},
@@ -14,7 +14,7 @@
 };
 
 /// Part of the idle capacity that is not lent to other data centres: one in this many.
-const RESERVE: u32 = 4;
+const RESERVE_DIVISOR: u32 = 4;
 
 impl Pool {
     /// Takes what another entry lends.
@@ -32,39 +32,39 @@
                 *borrowed = fresh;
             }
             borrowed.resources = borrowed.resources.plus(&grant.resources);
-            self.refresh(now, grant.endpoint);
+            self.update_usable(now, grant.endpoint);
         }
         for grant in unknown {
-            self.share.parcel.add_back(from, grant);
-            self.share.parcel.due_by(now);
+            self.share.outbox.add_back(from, grant);
+            self.share.outbox.flush_by(now);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
     /// Takes back what this entry had lent.
-    pub(crate) fn take_back(
+    pub(crate) fn reclaim(
         &mut self,
         now: Time,
         from: Home,
         grants: &[Grant],
         out: &mut Vec<Action>,
     ) {
-        self.account(now, grants, |kept, resources| kept.take_back(from, resources), out);
+        self.update_lent(now, grants, |kept, resources| kept.take_back(from, resources), out);
     }
 
     /// Counts capacity as lent that another entry uses since before this one kept it.
-    pub(crate) fn acknowledge(
+    pub(crate) fn record_lent(
         &mut self,
         now: Time,
         from: Home,
         grants: &[Grant],
         out: &mut Vec<Action>,
     ) {
-        self.account(now, grants, |kept, resources| kept.lend(from, resources), out);
+        self.update_lent(now, grants, |kept, resources| kept.lend(from, resources), out);
     }
 
     /// Enters `grants` in the accounts of the endpoints that this entry keeps.
-    fn account(
+    fn update_lent(
         &mut self,
         now: Time,
         grants: &[Grant],
@@ -74,15 +74,15 @@
         for grant in grants {
             if let Some(kept) = self.share.kept.get_mut(&grant.endpoint) {
                 enter(kept, &grant.resources);
-                self.refresh(now, grant.endpoint);
+                self.update_usable(now, grant.endpoint);
             }
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
     /// Sets capacity apart that is owed to others.
-    pub(super) fn pay(&mut self, now: Time) {
-        self.pay_recalled(now);
+    pub(super) fn lend_owed(&mut self, now: Time) {
+        self.return_recalled(now);
         if self.queue.is_empty() || self.share.owed == 0 {
             return;
         }
@@ -90,28 +90,28 @@
             self.share.owed = 0;
             return;
         };
-        let given = self.give(now, to, self.share.owed, &needs);
+        let given = self.hand_out(now, to, self.share.owed, &needs);
         self.share.owed -= given.min(self.share.owed);
         if given > 0 {
-            let wait = if self.share.owed > 0 { self.batch() } else { Span::ZERO };
-            self.share.parcel.due_by(now + wait);
+            let wait = if self.share.owed > 0 { self.batch_delay() } else { Span::ZERO };
+            self.share.outbox.flush_by(now + wait);
         }
     }
 
-    fn pay_recalled(&mut self, now: Time) {
+    fn return_recalled(&mut self, now: Time) {
         let recalled = self.share.borrowed.iter().filter(|(_, b)| b.recalled);
         let idle: Vec<_> = recalled
             .map(|(id, b)| (*id, b.keeper, self.placement.free(*id)))
             .filter(|(_, _, free)| *free != Resources::default())
             .collect();
         for (endpoint, keeper, free) in idle {
-            self.give_back(now, endpoint, keeper, free);
-            self.share.parcel.due_by(now + self.batch());
+            self.return_borrowed(now, endpoint, keeper, free);
+            self.share.outbox.flush_by(now + self.batch_delay());
         }
     }
 
     /// How long capacity for others is collected before it is sent.
-    fn batch(&self) -> Span {
+    fn batch_delay(&self) -> Span {
         match self.prefers_messages() {
             true => Span::from_millis(25),
             false => Span::from_millis(5),
@@ -120,50 +120,50 @@
 
     /// The neighbour that holds least of what it wants.
     fn neediest(&self) -> Option<(Home, Resources)> {
-        let neighbours = self.share.heard.iter().filter(|(_, heard)| !heard.remote);
-        let neediest = neighbours.min_by_key(|(home, heard)| (heard.want.held, **home));
-        neediest.map(|(home, heard)| (*home, heard.want.needs))
+        let neighbours = self.share.peer_requests.iter().filter(|(_, peer)| !peer.remote);
+        let neediest = neighbours.min_by_key(|(home, peer)| (peer.request.held, **home));
+        neediest.map(|(home, peer)| (*home, peer.request.needs))
     }
 
     /// Gives back what is idle, if this entry is not one that places tasks as a rule.
-    fn give_back_idle(&mut self, now: Time) {
+    fn return_idle(&mut self, now: Time) {
         if !self.share.kept.is_empty() || !self.queue.is_empty() || self.share.borrowed.is_empty() {
             return;
         }
         for borrowed in self.share.borrowed.values_mut() {
             borrowed.recalled = true;
         }
-        self.pay_recalled(now);
+        self.return_recalled(now);
     }
 
     /// Lends what is idle to those who want it.
-    pub(super) fn offer(&mut self, now: Time) {
-        self.give_back_idle(now);
-        if !self.queue.is_empty() || self.share.heard.is_empty() {
+    pub(super) fn lend_idle(&mut self, now: Time) {
+        self.return_idle(now);
+        if !self.queue.is_empty() || self.share.peer_requests.is_empty() {
             return;
         }
-        let mut wishes: Vec<_> = self
+        let mut requests: Vec<_> = self
             .share
-            .heard
+            .peer_requests
             .iter()
-            .map(|(home, heard)| (heard.remote, *home, heard.want.tasks, heard.want.needs))
+            .map(|(home, peer)| (peer.remote, *home, peer.request.tasks, peer.request.needs))
             .collect();
-        wishes.sort_unstable_by_key(|(remote, home, ..)| (*remote, *home));
-        for (remote, to, tasks, needs) in wishes {
-            let idle = self.idle(&needs);
+        requests.sort_unstable_by_key(|(remote, home, ..)| (*remote, *home));
+        for (remote, to, tasks, needs) in requests {
+            let idle = self.idle_tasks(&needs);
             let part = match remote {
-                true => tasks.min(idle.saturating_sub(idle.div_ceil(RESERVE))),
+                true => tasks.min(idle.saturating_sub(idle.div_ceil(RESERVE_DIVISOR))),
                 false if idle <= tasks => idle,
                 false => tasks + (idle - tasks) / 2,
             };
-            if self.give(now, to, part, &needs) > 0 {
-                self.share.parcel.due_by(now);
+            if self.hand_out(now, to, part, &needs) > 0 {
+                self.share.outbox.flush_by(now);
             }
         }
     }
 
     /// Tasks that need `needs` and that idle endpoints have room for.
-    fn idle(&self, needs: &Resources) -> u32 {
+    fn idle_tasks(&self, needs: &Resources) -> u32 {
         if self.is_uniform() {
             return self.placement.total_free().0;
         }
@@ -171,7 +171,7 @@
     }
 
     /// Sets idle capacity for up to `tasks` tasks apart for `to`; returns for how many.
-    fn give(&mut self, now: Time, to: Home, tasks: u32, needs: &Resources) -> u32 {
+    fn hand_out(&mut self, now: Time, to: Home, tasks: u32, needs: &Resources) -> u32 {
         let mut given = 0;
         let free: Vec<_> = self.placement.free_endpoints(false).collect();
         for (endpoint, free) in free {
@@ -182,21 +182,27 @@
             let resources = needs.times(count);
             if let Some(kept) = self.share.kept.get_mut(&endpoint) {
                 kept.lend(to, &resources);
-                self.share.parcel.lend(to, Grant { endpoint, resources });
-                self.refresh(now, endpoint);
+                self.share.outbox.lend(to, Grant { endpoint, resources });
+                self.update_usable(now, endpoint);
             } else if let Some(keeper) = self.share.borrowed.get(&endpoint).map(|b| b.keeper) {
-                self.give_back(now, endpoint, keeper, resources);
+                self.return_borrowed(now, endpoint, keeper, resources);
             }
             given += count;
             if given == tasks {
                 break;
             }
         }
-        self.share.served(to, given);
+        self.share.record_served(to, given);
         given
     }
 
-    fn give_back(&mut self, now: Time, endpoint: EndpointId, keeper: Home, resources: Resources) {
+    fn return_borrowed(
+        &mut self,
+        now: Time,
+        endpoint: EndpointId,
+        keeper: Home,
+        resources: Resources,
+    ) {
         let Some(borrowed) = self.share.borrowed.get_mut(&endpoint) else {
             return;
         };
@@ -204,24 +210,24 @@
         if borrowed.resources == Resources::default() {
             self.share.borrowed.remove(&endpoint);
         }
-        self.share.parcel.add_back(keeper, Grant { endpoint, resources });
-        self.refresh(now, endpoint);
+        self.share.outbox.add_back(keeper, Grant { endpoint, resources });
+        self.update_usable(now, endpoint);
     }
 
     /// Sends what was set apart, when it is due.
     pub(super) fn flush(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.share.parcel.due.is_none_or(|due| due > now) {
+        if self.share.outbox.due.is_none_or(|due| due > now) {
             return;
         }
-        let parcel = std::mem::take(&mut self.share.parcel);
+        let outbox = std::mem::take(&mut self.share.outbox);
         let service = self.key;
-        for (to, grants) in parcel.lend {
+        for (to, grants) in outbox.lend {
             let slots = grants.iter().map(|grant| grant.resources.slots.0).sum();
             out.push(Action::Log(Decision::Lend { to, service, slots }));
             out.push(Action::Send { to, message: Message::Lend(Lend { service, grants }) });
         }
-        for (to, grants) in parcel.give_back {
-            let giveback = Giveback { service, grants };
+        for (to, grants) in outbox.give_back {
+            let giveback = ServiceGrants { service, grants };
             out.push(Action::Send { to, message: Message::Return(giveback) });
         }
     }
--- a/components/dispatch/src/pool/keep.rs
+++ b/components/dispatch/src/pool/members.rs
@@ -3,7 +3,7 @@
 use super::{Pool, share::Borrowed};
 use crate::{
     Action, Message,
-    message::{Giveback, Grant},
+    message::{Grant, ServiceGrants},
 };
 use placement::Endpoint;
 use site::{
@@ -26,33 +26,38 @@
 impl Pool {
     /// Takes over a change of members or settings: which endpoints this entry keeps, and whom it
     /// may borrow from.
-    pub(crate) fn rekey(&mut self, now: Time, members: &Members<'_>, out: &mut Vec<Action>) {
+    pub(crate) fn apply_members(
+        &mut self,
+        now: Time,
+        members: &Members<'_>,
+        out: &mut Vec<Action>,
+    ) {
         self.share.neighbours.clone_from(&members.neighbours);
         self.share.lenders.clone_from(&members.lenders);
         self.share.distant.clone_from(&members.distant);
         self.drop_absent(now, members);
-        self.forget_usage();
+        self.drop_absent_usage();
         let index = self.index.clone();
         let listed = index.pools.get(&self.key).map_or(&[][..], Vec::as_slice);
         self.share.local = Resources::default();
         let mut moved = Vec::new();
         for endpoint in listed {
-            let spot = index.endpoints[endpoint];
-            if !index.cluster.contains(&spot.data_centre) {
+            let resolved = index.endpoints[endpoint];
+            if !index.cluster.contains(&resolved.data_centre) {
                 continue;
             }
-            let keeper = (members.keeper)(*endpoint, spot.data_centre);
-            if !spot.leaving && keeper.is_some() {
-                self.share.local = self.share.local.plus(&spot.capacity);
+            let keeper = (members.keeper)(*endpoint, resolved.data_centre);
+            if !resolved.leaving && keeper.is_some() {
+                self.share.local = self.share.local.plus(&resolved.capacity);
             }
-            moved.extend(self.assign(now, *endpoint, keeper, spot.capacity));
+            moved.extend(self.assign(now, *endpoint, keeper, resolved.capacity));
         }
         for (keeper, grant) in moved {
-            let holding = Giveback { service: self.key, grants: vec![grant] };
-            out.push(Action::Send { to: keeper, message: Message::Holding(holding) });
+            let holding = ServiceGrants { service: self.key, grants: vec![grant] };
+            out.push(Action::Send { to: keeper, message: Message::InUse(holding) });
         }
         self.drop_unlisted(now);
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
     /// Makes `keeper` the keeper of an endpoint. Returns what this entry still uses of an endpoint
@@ -64,10 +69,10 @@
         keeper: Option<Home>,
         capacity: Resources,
     ) -> Option<(Home, Grant)> {
-        if keeper == Some(self.own) {
+        if keeper == Some(self.home) {
             self.share.borrowed.remove(&endpoint);
             self.share.kept.entry(endpoint).or_default().capacity = capacity;
-            self.refresh(now, endpoint);
+            self.update_usable(now, endpoint);
             return None;
         }
         let was_kept = self.share.kept.remove(&endpoint).is_some();
@@ -75,7 +80,7 @@
         let was_lent = borrowed.is_some_and(|b| Some(b.keeper) != keeper);
         if !was_kept && !was_lent {
             if borrowed.is_some() {
-                self.refresh(now, endpoint);
+                self.update_usable(now, endpoint);
             }
             return None;
         }
@@ -87,7 +92,7 @@
                 .borrowed
                 .insert(endpoint, Borrowed { keeper, resources: in_use, recalled: false });
         }
-        self.refresh(now, endpoint);
+        self.update_usable(now, endpoint);
         holding.map(|keeper| (keeper, Grant { endpoint, resources: in_use }))
     }
 
@@ -95,7 +100,7 @@
     fn drop_absent(&mut self, now: Time, members: &Members<'_>) {
         let present =
             |home: &Home| members.neighbours.contains(home) || members.distant.contains(home);
-        self.share.heard.retain(|home, _| present(home));
+        self.share.peer_requests.retain(|home, _| present(home));
         for kept in self.share.kept.values_mut() {
             kept.lent.retain(|(home, _)| present(home));
         }
@@ -108,11 +113,11 @@
             .collect();
         for endpoint in lost {
             self.share.borrowed.remove(&endpoint);
-            self.refresh(now, endpoint);
+            self.update_usable(now, endpoint);
         }
         let kept: Vec<_> = self.share.kept.keys().copied().collect();
         for endpoint in kept {
-            self.refresh(now, endpoint);
+            self.update_usable(now, endpoint);
         }
     }
 
@@ -120,13 +125,13 @@
     fn drop_unlisted(&mut self, now: Time) {
         let index = self.index.clone();
         let unlisted: Vec<_> =
-            self.share.used().filter(|id| !index.endpoints.contains_key(id)).collect();
+            self.share.endpoints().filter(|id| !index.endpoints.contains_key(id)).collect();
         for endpoint in unlisted {
             self.share.kept.remove(&endpoint);
             self.share.borrowed.remove(&endpoint);
-            self.refresh(now, endpoint);
+            self.update_usable(now, endpoint);
         }
-        self.said_leaving.retain(|endpoint| index.endpoints.contains_key(endpoint));
+        self.reported_leaving.retain(|endpoint| index.endpoints.contains_key(endpoint));
     }
 
     /// Forgets accounts with an entry whose connection is lost.
@@ -139,35 +144,35 @@
         let distant = self.share.distant.clone();
         let members = Members { keeper: &|_, _| None, neighbours, lenders, distant };
         self.drop_absent(now, &members);
-        self.forget_usage();
-        self.settle(now, out);
+        self.drop_absent_usage();
+        self.schedule(now, out);
     }
 
     /// A connection came up: the peer is told again what it must know.
     pub(crate) fn peer_up(&mut self, peer: Home, out: &mut Vec<Action>) {
-        self.tell_all_usage(peer, out);
+        self.send_all_usage(peer, out);
     }
 
     /// Carries what this entry may use of an endpoint over to its placement.
-    pub(super) fn refresh(&mut self, now: Time, endpoint: EndpointId) {
+    pub(super) fn update_usable(&mut self, now: Time, endpoint: EndpointId) {
         let usable = self.share.usable(endpoint);
-        let before = self.share.counted.insert(endpoint, usable).unwrap_or_default();
+        let before = self.share.usable_by_endpoint.insert(endpoint, usable).unwrap_or_default();
         self.share.held = self.share.held.minus(&before).plus(&usable);
         if usable == Resources::default() {
-            self.share.counted.remove(&endpoint);
+            self.share.usable_by_endpoint.remove(&endpoint);
             self.placement.remove(endpoint);
             self.trials.remove(&endpoint);
-            self.slow.remove(&endpoint);
+            self.slow_factors.remove(&endpoint);
             if !self.share.kept.contains_key(&endpoint) {
                 self.health.remove(endpoint);
             }
             return;
         }
-        let spot = self.index.endpoints.get(&endpoint).copied();
-        let rack = spot.map(|spot| spot.rack).unwrap_or_default();
-        let remote = spot.is_some_and(|spot| spot.data_centre != self.own.data_centre);
+        let resolved = self.index.endpoints.get(&endpoint).copied();
+        let rack = resolved.map(|resolved| resolved.rack).unwrap_or_default();
+        let remote = resolved.is_some_and(|resolved| resolved.data_centre != self.home.data_centre);
         self.placement.insert(Endpoint { id: endpoint, rack, remote, capacity: usable });
         self.health.insert(endpoint);
-        self.reopen(now, endpoint);
+        self.update_open(now, endpoint);
     }
 }
--- a/components/dispatch/src/pool/mod.rs
+++ b/components/dispatch/src/pool/mod.rs
@@ -8,23 +8,23 @@
 
 mod admit;
 mod attempt;
-mod keep;
+mod average;
 mod lend;
-mod pump;
+mod members;
 mod quota;
+mod request;
+mod schedule;
 mod share;
 mod timer;
 mod trial;
-mod typical;
-mod wish;
 
-pub(crate) use keep::Members;
-pub(crate) use pump::pool_number;
+pub(crate) use members::Members;
+pub(crate) use schedule::pool_number;
 
 use crate::{
-    entry::JobView,
+    entry::PoolView,
     event::Reply,
-    index::{Index, WORKERS},
+    index::{Index, WORKER_POOL},
     retry::Budget,
 };
 use compact_str::CompactString;
@@ -44,7 +44,7 @@
 
 /// A queued task.
 #[derive(Debug)]
-struct Item {
+struct QueuedTask {
     job: Arc<Job>,
     /// The task's position in the job.
     index: u16,
@@ -62,7 +62,7 @@
 /// report.
 #[derive(Debug)]
 struct Attempt {
-    item: Item,
+    item: QueuedTask,
     endpoint: EndpointId,
     started: Time,
     /// What is reserved.
@@ -90,7 +90,7 @@
 
 /// What a report means for its submission.
 #[derive(Debug)]
-pub(crate) enum Ended {
+pub(crate) enum Effect {
     /// A task has its output.
     Output(Arc<Job>, u16, Output),
     /// The submission fails.
@@ -105,9 +105,9 @@
     key: ServiceId,
     /// Upper bits of the attempt identifiers of this pool.
     number: u16,
-    own: Home,
+    home: Home,
     index: Arc<Index>,
-    queue: fairness::Queue<Item>,
+    queue: fairness::Queue<QueuedTask>,
     placement: placement::Pool,
     health: health::Monitor,
     estimate: placement::Estimate,
@@ -118,23 +118,23 @@
     /// Quotas of firms that have one.
     quotas: FxHashMap<FirmId, Slots>,
     /// What is told and heard of firms with a quota.
-    accounts: FxHashMap<FirmId, quota::Account>,
+    quota_usage: FxHashMap<FirmId, quota::FirmUsage>,
     /// Open jobs of each firm that have queued or running tasks here.
-    loads: FxHashMap<FirmId, FxHashMap<u64, u32>>,
+    open_tasks: FxHashMap<FirmId, FxHashMap<u64, u32>>,
     /// Counts attempts.
     sequence: u64,
     holds: BinaryHeap<Reverse<Hold>>,
     /// Endpoints that are leaving by their own answer.
-    said_leaving: FxHashSet<EndpointId>,
+    reported_leaving: FxHashSet<EndpointId>,
     /// Endpoints that are leaving by the platform's list.
     listed_leaving: FxHashSet<EndpointId>,
     /// How many times as long slow endpoints take.
-    slow: FxHashMap<EndpointId, f32>,
+    slow_factors: FxHashMap<EndpointId, f32>,
     /// Endpoints on trial, with the time of the latest one, or since when they wait for one.
     trials: BTreeMap<EndpointId, Time>,
-    typical: typical::Typical,
+    average_needs: average::AverageNeeds,
     /// Whether the last round left a task that no endpoint had room for.
-    starved: bool,
+    has_unplaced: bool,
     share: share::Share,
 }
 
@@ -143,14 +143,14 @@
     pub(crate) fn new(
         key: ServiceId,
         number: u16,
-        own: Home,
+        home: Home,
         index: Arc<Index>,
         seed: u64,
     ) -> Pool {
         Pool {
             key,
             number,
-            own,
+            home,
             index,
             queue: fairness::Queue::new(),
             placement: placement::Pool::new(seed ^ u64::from(number)),
@@ -160,16 +160,16 @@
             attempts: FxHashMap::default(),
             running: FxHashMap::default(),
             quotas: FxHashMap::default(),
-            accounts: FxHashMap::default(),
-            loads: FxHashMap::default(),
+            quota_usage: FxHashMap::default(),
+            open_tasks: FxHashMap::default(),
             sequence: 0,
             holds: BinaryHeap::new(),
-            said_leaving: FxHashSet::default(),
+            reported_leaving: FxHashSet::default(),
             listed_leaving: FxHashSet::default(),
-            slow: FxHashMap::default(),
+            slow_factors: FxHashMap::default(),
             trials: BTreeMap::new(),
-            typical: typical::Typical::default(),
-            starved: false,
+            average_needs: average::AverageNeeds::default(),
+            has_unplaced: false,
             share: share::Share::default(),
         }
     }
@@ -190,13 +190,13 @@
             }
         }
         let moved = |id: &EndpointId| index.address(*id) != self.index.address(*id);
-        self.said_leaving.retain(|id| !moved(id));
+        self.reported_leaving.retain(|id| !moved(id));
         self.index = index;
     }
 
     /// Whether all tasks of the pool need the same.
     fn is_uniform(&self) -> bool {
-        self.key != WORKERS
+        self.key != WORKER_POOL
     }
 
     fn prefers_messages(&self) -> bool {
@@ -238,13 +238,13 @@
         }
     }
 
-    fn load(&mut self, firm: FirmId, job: u64, tasks: u32) {
-        *self.loads.entry(firm).or_default().entry(job).or_default() += tasks;
+    fn add_open_tasks(&mut self, firm: FirmId, job: u64, tasks: u32) {
+        *self.open_tasks.entry(firm).or_default().entry(job).or_default() += tasks;
     }
 
     /// Notes that `tasks` tasks of a job are neither queued nor running any more.
-    fn unload(&mut self, firm: FirmId, job: u64, tasks: u32) {
-        let Some(jobs) = self.loads.get_mut(&firm) else {
+    fn remove_open_tasks(&mut self, firm: FirmId, job: u64, tasks: u32) {
+        let Some(jobs) = self.open_tasks.get_mut(&firm) else {
             return;
         };
         let Some(left) = jobs.get_mut(&job) else {
@@ -255,19 +255,19 @@
             jobs.remove(&job);
         }
         if jobs.is_empty() {
-            self.loads.remove(&firm);
+            self.open_tasks.remove(&firm);
         }
     }
 
     /// What operators see of the pool.
-    pub(crate) fn overview(&self) -> JobView {
-        let endpoints = self.share.used().map(|id| EndpointView {
+    pub(crate) fn overview(&self) -> PoolView {
+        let endpoints = self.share.endpoints().map(|id| EndpointView {
             name: self.index.name(id),
             in_use: self.placement.in_use(id),
             free: self.placement.free(id),
             state: compact_str::format_compact!("{:?}", self.health.state(id)),
         });
-        JobView {
+        PoolView {
             service: self.key,
             queued: self.queue.len(),
             running: self.attempts.len(),
--- a/components/dispatch/src/pool/quota.rs
+++ b/components/dispatch/src/pool/quota.rs
@@ -13,31 +13,31 @@
 };
 
 /// Parts of a quota by which a change is told.
-const STEPS: u32 = 10;
+const USAGE_STEPS_PER_QUOTA: u32 = 10;
 
 /// What is told and heard of one firm.
 #[derive(Debug, Default)]
-pub(super) struct Account {
+pub(super) struct FirmUsage {
     /// Running here as the others know it.
-    told: u32,
+    reported: u32,
     /// Running at others as they told.
-    heard: FxHashMap<Home, u32>,
+    running_at_peers: FxHashMap<Home, u32>,
 }
 
 impl Pool {
     /// Tells others how many tasks of a firm run here, if they must know.
-    pub(super) fn tell_usage(&mut self, firm: FirmId, out: &mut Vec<Action>) {
+    pub(super) fn send_usage(&mut self, firm: FirmId, out: &mut Vec<Action>) {
         let Some(quota) = self.quotas.get(&firm).copied() else {
             return;
         };
         let running = self.queue.firm_running(firm) as u32;
-        let account = self.accounts.entry(firm).or_default();
-        let step = (quota.0 / STEPS).max(1);
-        let ended = running == 0 && account.told > 0;
-        if !ended && running.abs_diff(account.told) < step {
+        let usage_of_firm = self.quota_usage.entry(firm).or_default();
+        let step = (quota.0 / USAGE_STEPS_PER_QUOTA).max(1);
+        let ended = running == 0 && usage_of_firm.reported > 0;
+        if !ended && running.abs_diff(usage_of_firm.reported) < step {
             return;
         }
-        account.told = running;
+        usage_of_firm.reported = running;
         let usage = Usage { service: self.key, firm, running: Slots(running) };
         for to in self.share.lenders.iter().chain(&self.share.distant) {
             out.push(Action::Send { to: *to, message: Message::Usage(usage) });
@@ -45,16 +45,16 @@
     }
 
     /// Tells a peer all that it must know.
-    pub(super) fn tell_all_usage(&self, peer: Home, out: &mut Vec<Action>) {
-        for (firm, account) in &self.accounts {
-            let running = Slots(account.told);
+    pub(super) fn send_all_usage(&self, peer: Home, out: &mut Vec<Action>) {
+        for (firm, usage_of_firm) in &self.quota_usage {
+            let running = Slots(usage_of_firm.reported);
             let usage = Usage { service: self.key, firm: *firm, running };
             out.push(Action::Send { to: peer, message: Message::Usage(usage) });
         }
     }
 
     /// Takes notice of a firm's tasks at another entry.
-    pub(crate) fn hear_usage(
+    pub(crate) fn receive_usage(
         &mut self,
         now: Time,
         from: Home,
@@ -64,28 +64,35 @@
         if !self.quotas.contains_key(&usage.firm) {
             return;
         }
-        let account = self.accounts.entry(usage.firm).or_default();
-        account.heard.insert(from, usage.running.0);
-        self.count_remote(usage.firm);
-        self.settle(now, out);
+        let usage_of_firm = self.quota_usage.entry(usage.firm).or_default();
+        usage_of_firm.running_at_peers.insert(from, usage.running.0);
+        self.update_remote_running(usage.firm);
+        self.schedule(now, out);
     }
 
     /// Forgets what entries told that are not members any more.
-    pub(super) fn forget_usage(&mut self) {
+    pub(super) fn drop_absent_usage(&mut self) {
         let neighbours = &self.share.neighbours;
         let distant = &self.share.distant;
-        for account in self.accounts.values_mut() {
-            account.heard.retain(|home, _| neighbours.contains(home) || distant.contains(home));
+        for usage_of_firm in self.quota_usage.values_mut() {
+            usage_of_firm
+                .running_at_peers
+                .retain(|home, _| neighbours.contains(home) || distant.contains(home));
         }
-        let firms: Vec<_> = self.accounts.keys().copied().collect();
+        let firms: Vec<_> = self.quota_usage.keys().copied().collect();
         for firm in firms {
-            self.count_remote(firm);
+            self.update_remote_running(firm);
         }
     }
 
-    fn count_remote(&mut self, firm: FirmId) {
-        let heard = self.accounts.get(&firm).into_iter().flat_map(|account| account.heard.values());
-        let running = Slots(heard.fold(0, |sum: u32, running| sum.saturating_add(*running)));
+    fn update_remote_running(&mut self, firm: FirmId) {
+        let running_at_peers = self
+            .quota_usage
+            .get(&firm)
+            .into_iter()
+            .flat_map(|usage_of_firm| usage_of_firm.running_at_peers.values());
+        let running =
+            Slots(running_at_peers.fold(0, |sum: u32, running| sum.saturating_add(*running)));
         self.queue.set_remote_running(firm, running);
     }
 }
--- a/components/dispatch/src/pool/wish.rs
+++ b/components/dispatch/src/pool/request.rs
@@ -2,11 +2,11 @@
 
 use super::{
     Pool,
-    share::{Heard, Said},
+    share::{OwnRequest, PeerRequest},
 };
 use crate::{
     Action, Message,
-    message::{Demand, Want},
+    message::{CapacityRequest, Demand},
 };
 use site::{
     id::{DataCentreId, Home},
@@ -14,53 +14,53 @@
 };
 
 /// A wish is forgotten after this unless it is repeated.
-const WISH_TERM: Span = Span::from_millis(1_000);
+const REQUEST_LIFETIME: Span = Span::from_millis(1_000);
 
 /// A wish that still stands is repeated after this.
-const WISH_REPEAT: Span = Span::from_millis(500);
+const REQUEST_REPEAT_INTERVAL: Span = Span::from_millis(500);
 
 /// A wish that grew is repeated no sooner than this.
-const WISH_GROWN: Span = Span::from_millis(20);
+const MIN_GROWTH_INTERVAL: Span = Span::from_millis(20);
 
 /// Most firms that a wish names; the rest count for nothing at the keeper.
-const MAX_DEMAND: usize = 16;
+const MAX_DEMAND_FIRMS: usize = 16;
 
 impl Pool {
     /// Asks others for capacity, if tasks wait for it.
-    pub(super) fn wish(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Some((_, head)) = self.queue.peek().filter(|_| self.starved) else {
-            self.share.said = None;
+    pub(super) fn request_capacity(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some((_, head)) = self.queue.peek().filter(|_| self.has_unplaced) else {
+            self.share.own_request = None;
             return;
         };
         let (declared, _) = self.declared(&head.job, head.index);
         let needs = self.needs(&head.job, &declared);
         let tasks = self.queue.len() as u32;
-        let said = self.share.said;
-        let remote = said.is_some_and(|said| now >= said.first + self.patience());
-        if said.is_some_and(|said| !said.is_due(now, tasks, remote)) {
+        let sent = self.share.own_request;
+        let remote = sent.is_some_and(|sent| now >= sent.first_sent + self.remote_delay());
+        if sent.is_some_and(|sent| !sent.should_repeat(now, tasks, remote)) {
             return;
         }
-        let want = Want {
+        let request = CapacityRequest {
             service: self.key,
             tasks,
             held: self.share.held.count(&needs),
             needs,
             demand: self.demand(),
         };
-        let first = said.map_or(now, |said| said.first);
-        self.share.said = Some(Said { tasks, first, at: now, remote });
-        for to in self.lenders(remote) {
-            out.push(Action::Send { to, message: Message::Want(want.clone()) });
+        let first_sent = sent.map_or(now, |sent| sent.first_sent);
+        self.share.own_request = Some(OwnRequest { tasks, first_sent, last_sent: now, remote });
+        for to in self.lender_homes(remote) {
+            out.push(Action::Send { to, message: Message::CapacityRequest(request.clone()) });
         }
     }
 
     /// Whom to ask: those who keep endpoints near, those who hold something of this entry's, and
     /// after a while those of other clusters.
-    fn lenders(&self, remote: bool) -> Vec<Home> {
+    fn lender_homes(&self, remote: bool) -> Vec<Home> {
         let mut homes = self.share.lenders.clone();
-        let debtors = self.share.kept.values().flat_map(|kept| &kept.lent);
-        homes.extend(debtors.map(|(home, _)| *home));
-        if remote && self.is_worth_distance() {
+        let borrowers = self.share.kept.values().flat_map(|kept| &kept.lent);
+        homes.extend(borrowers.map(|(home, _)| *home));
+        if remote && self.is_remote_worthwhile() {
             homes.extend(&self.share.distant);
         }
         homes.sort_unstable();
@@ -73,7 +73,7 @@
     }
 
     /// How long to wait for neighbours before other data centres are asked.
-    fn patience(&self) -> Span {
+    fn remote_delay(&self) -> Span {
         match self.prefers_messages() {
             true => Span::from_millis(50),
             false => Span::from_millis(10),
@@ -81,7 +81,7 @@
     }
 
     /// Whether waiting here takes longer than the way to the nearest other data centre and back.
-    fn is_worth_distance(&self) -> bool {
+    fn is_remote_worthwhile(&self) -> bool {
         let Some((key, head)) = self.queue.peek() else {
             return false;
         };
@@ -94,31 +94,37 @@
     }
 
     fn demand(&self) -> Vec<Demand> {
-        let demand = self.loads.iter();
+        let demand = self.open_tasks.iter();
         let mut demand: Vec<_> =
             demand.map(|(firm, jobs)| Demand { firm: *firm, jobs: jobs.len() as u32 }).collect();
-        demand.sort_unstable_by_key(|one| one.firm);
-        demand.truncate(MAX_DEMAND);
+        demand.sort_unstable_by_key(|firm_demand| firm_demand.firm);
+        demand.truncate(MAX_DEMAND_FIRMS);
         demand
     }
 
     /// When [`Pool::wish`] may have to ask again.
-    pub(super) fn next_wish(&self) -> Option<Time> {
-        let said = self.share.said?;
-        let repeat = said.at + WISH_REPEAT;
-        let distant = (!said.remote).then(|| said.first + self.patience());
+    pub(super) fn next_capacity_request(&self) -> Option<Time> {
+        let sent = self.share.own_request?;
+        let repeat = sent.last_sent + REQUEST_REPEAT_INTERVAL;
+        let distant = (!sent.remote).then(|| sent.first_sent + self.remote_delay());
         Some(distant.map_or(repeat, |distant| distant.min(repeat)))
     }
 
     /// Takes notice of another entry's wish.
-    pub(crate) fn hear(&mut self, now: Time, from: Home, want: Want, out: &mut Vec<Action>) {
+    pub(crate) fn receive_request(
+        &mut self,
+        now: Time,
+        from: Home,
+        request: CapacityRequest,
+        out: &mut Vec<Action>,
+    ) {
         let remote = self.is_distant(from);
-        let needs = want.needs;
-        if want.tasks > 0 {
-            let until = now + WISH_TERM;
-            self.share.heard.insert(from, Heard { want, until, remote });
+        let needs = request.needs;
+        if request.tasks > 0 {
+            let until = now + REQUEST_LIFETIME;
+            self.share.peer_requests.insert(from, PeerRequest { request, until, remote });
         } else {
-            self.share.heard.remove(&from);
+            self.share.peer_requests.remove(&from);
         }
         if remote {
             self.recall(from.data_centre);
@@ -126,7 +132,7 @@
             let held = self.share.held.count(&needs);
             self.share.owed = held.saturating_sub(self.target(&needs));
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
     /// Capacity, in tasks, that this entry should hold while others want some too.
@@ -143,10 +149,11 @@
     }
 }
 
-impl Said {
+impl OwnRequest {
     /// Whether the wish is to be sent again.
-    fn is_due(&self, now: Time, tasks: u32, remote: bool) -> bool {
-        let grown = tasks > self.tasks.saturating_mul(2) && now >= self.at + WISH_GROWN;
-        grown || now >= self.at + WISH_REPEAT || (remote && !self.remote)
+    fn should_repeat(&self, now: Time, tasks: u32, remote: bool) -> bool {
+        let grown =
+            tasks > self.tasks.saturating_mul(2) && now >= self.last_sent + MIN_GROWTH_INTERVAL;
+        grown || now >= self.last_sent + REQUEST_REPEAT_INTERVAL || (remote && !self.remote)
     }
 }
--- a/components/dispatch/src/pool/pump.rs
+++ b/components/dispatch/src/pool/schedule.rs
@@ -1,6 +1,6 @@
 //! Takes tasks from the queue and places them.
 
-use super::{Attempt, Item, Pool};
+use super::{Attempt, Pool, QueuedTask};
 use crate::{
     Action, Decision,
     action::{Source, Start},
@@ -12,7 +12,7 @@
 };
 
 /// Tasks that one round passes over since no endpoint has room for them.
-const MAX_SKIPPED: usize = 8;
+const MAX_SKIPPED_TASKS: usize = 8;
 
 /// Bits of an attempt identifier below the pool's number.
 const SEQUENCE_BITS: u32 = 48;
@@ -25,23 +25,23 @@
 impl Pool {
     /// Does all that became possible: serves others what is owed, starts tasks, offers what is
     /// idle, and asks for what is missing.
-    pub(super) fn settle(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.share.forget(now);
-        self.pay(now);
-        self.pump(now, out);
-        self.offer(now);
-        self.wish(now, out);
+    pub(super) fn schedule(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.share.expire_requests(now);
+        self.lend_owed(now);
+        self.place_queued(now, out);
+        self.lend_idle(now);
+        self.request_capacity(now, out);
         self.flush(now, out);
     }
 
-    fn pump(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn place_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut skipped = Vec::new();
-        while self.placement.total_free().0 > 0 && skipped.len() < MAX_SKIPPED {
+        while self.placement.total_free().0 > 0 && skipped.len() < MAX_SKIPPED_TASKS {
             let Some((key, item)) = self.queue.pop() else {
                 break;
             };
             if item.job.is_closed() {
-                self.forget_item(key, &item);
+                self.discard_task(key, &item);
                 continue;
             }
             let (declared, _) = self.declared(&item.job, item.index);
@@ -55,32 +55,32 @@
             }
         }
         let full = self.placement.total_free().0 == 0 && self.queue.peek().is_some();
-        self.starved = full || !skipped.is_empty();
+        self.has_unplaced = full || !skipped.is_empty();
         for (key, item) in skipped.into_iter().rev() {
-            self.put_back(key, item);
+            self.requeue(key, item);
         }
     }
 
     /// Returns a task to the head of its job's queue; what it was charged stays charged.
-    pub(super) fn put_back(&mut self, key: Key, item: Item) {
+    pub(super) fn requeue(&mut self, key: Key, item: QueuedTask) {
         self.queue.finish(key.firm, key.crew, item.charged, item.charged);
         self.queue.push_front(key, item.cost, item);
     }
 
-    fn forget_item(&mut self, key: Key, item: &Item) {
+    fn discard_task(&mut self, key: Key, item: &QueuedTask) {
         self.queue.finish(key.firm, key.crew, item.charged, item.charged);
-        self.unload(key.firm, item.job.number, 1);
+        self.remove_open_tasks(key.firm, item.job.number, 1);
     }
 
     /// An endpoint with room that may be used now, its resources taken.
-    fn choose(&mut self, now: Time, item: &Item, needs: &Resources) -> Option<EndpointId> {
+    fn choose(&mut self, now: Time, item: &QueuedTask, needs: &Resources) -> Option<EndpointId> {
         if let Some(endpoint) = self.choose_trial(now, item, needs) {
             return Some(endpoint);
         }
         loop {
             let spread = self.running.get(&item.job.number).map(|running| &running.spread);
             let chosen = self.placement.choose(needs, &item.avoid, spread)?;
-            if !self.is_worth_it(chosen, item.cost) {
+            if !self.is_endpoint_worthwhile(chosen, item.cost) {
                 self.placement.release(chosen, needs);
                 return None;
             }
@@ -88,7 +88,7 @@
                 return Some(chosen);
             }
             self.placement.release(chosen, needs);
-            self.reopen(now, chosen);
+            self.update_open(now, chosen);
         }
     }
 
@@ -96,12 +96,12 @@
     ///
     /// A slow endpoint is chosen only when no other has room. The wait for another is estimated by
     /// the work that is queued, spread over all that this entry may use.
-    fn is_worth_it(&self, endpoint: EndpointId, run_time: Span) -> bool {
-        let Some(factor) = self.slow.get(&endpoint) else {
+    fn is_endpoint_worthwhile(&self, endpoint: EndpointId, run_time: Span) -> bool {
+        let Some(factor) = self.slow_factors.get(&endpoint) else {
             return true;
         };
         // Nothing faster would come: all of them, or the estimate, are off.
-        if self.slow.len() >= self.share.counted.len() {
+        if self.slow_factors.len() >= self.share.usable_by_endpoint.len() {
             return true;
         }
         let loss = run_time.0 as f64 * (f64::from(*factor) - 1.0);
@@ -115,18 +115,18 @@
         &mut self,
         now: Time,
         key: Key,
-        mut item: Item,
+        mut item: QueuedTask,
         endpoint: EndpointId,
         needs: Resources,
         declared: Resources,
         out: &mut Vec<Action>,
     ) {
         item.attempts += 1;
-        self.typical.observe(&needs);
+        self.average_needs.observe(&needs);
         if item.attempts == 1 {
             self.budget.earn(key.firm);
         }
-        let attempt = self.next_attempt();
+        let attempt = self.next_attempt_id();
         let submission = item.job.submission.clone();
         let task = TaskId { submission: submission.id, index: item.index };
         let time_limit = item.job.deadline.since(now);
@@ -147,10 +147,10 @@
         running.spread.add(self.placement.rack(endpoint).unwrap_or_default());
         let record = Attempt { item, endpoint, started: now, needs, declared, measured: None };
         self.attempts.insert(attempt, record);
-        self.tell_usage(key.firm, out);
+        self.send_usage(key.firm, out);
     }
 
-    fn next_attempt(&mut self) -> AttemptId {
+    fn next_attempt_id(&mut self) -> AttemptId {
         self.sequence += 1;
         AttemptId((u64::from(self.number) << SEQUENCE_BITS) | self.sequence)
     }
--- a/components/dispatch/src/pool/share.rs
+++ b/components/dispatch/src/pool/share.rs
@@ -1,6 +1,6 @@
 //! Who keeps, lends and borrows which capacity.
 
-use crate::message::{Demand, Grant, Want};
+use crate::message::{CapacityRequest, Demand, Grant};
 use rustc_hash::FxHashMap;
 use site::{
     id::{EndpointId, FirmId, Home},
@@ -53,8 +53,8 @@
 
 /// A wish that another entry has sent.
 #[derive(Clone, Debug)]
-pub(super) struct Heard {
-    pub(super) want: Want,
+pub(super) struct PeerRequest {
+    pub(super) request: CapacityRequest,
     /// Forgotten then.
     pub(super) until: Time,
     /// From another cluster: gets only what is idle.
@@ -63,20 +63,20 @@
 
 /// The wish that this entry has sent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Said {
+pub(super) struct OwnRequest {
     /// Tasks wished for.
     pub(super) tasks: u32,
     /// When it was sent first.
-    pub(super) first: Time,
+    pub(super) first_sent: Time,
     /// When it was sent last.
-    pub(super) at: Time,
+    pub(super) last_sent: Time,
     /// Whether other data centres were asked too.
     pub(super) remote: bool,
 }
 
 /// Capacity on its way to others, sent together.
 #[derive(Debug, Default)]
-pub(super) struct Parcel {
+pub(super) struct Outbox {
     /// Lent by this entry as keeper.
     pub(super) lend: FxHashMap<Home, Vec<Grant>>,
     /// Given back to the keepers.
@@ -85,7 +85,7 @@
     pub(super) due: Option<Time>,
 }
 
-impl Parcel {
+impl Outbox {
     /// Adds capacity that is lent.
     pub(super) fn lend(&mut self, to: Home, grant: Grant) {
         self.lend.entry(to).or_default().push(grant);
@@ -97,7 +97,7 @@
     }
 
     /// Has it sent by `time` at the latest.
-    pub(super) fn due_by(&mut self, time: Time) {
+    pub(super) fn flush_by(&mut self, time: Time) {
         self.due = Some(self.due.map_or(time, |due| due.min(time)));
     }
 }
@@ -107,9 +107,9 @@
 pub(super) struct Share {
     pub(super) kept: FxHashMap<EndpointId, Kept>,
     pub(super) borrowed: FxHashMap<EndpointId, Borrowed>,
-    pub(super) heard: FxHashMap<Home, Heard>,
-    pub(super) said: Option<Said>,
-    pub(super) parcel: Parcel,
+    pub(super) peer_requests: FxHashMap<Home, PeerRequest>,
+    pub(super) own_request: Option<OwnRequest>,
+    pub(super) outbox: Outbox,
     /// Other live entries of the cluster.
     pub(super) neighbours: Vec<Home>,
     /// Those of them that keep endpoints.
@@ -121,14 +121,14 @@
     /// Sum of the capacity of the cluster.
     pub(super) local: Resources,
     /// What `held` counts of each endpoint.
-    pub(super) counted: FxHashMap<EndpointId, Resources>,
+    pub(super) usable_by_endpoint: FxHashMap<EndpointId, Resources>,
     /// Capacity, in tasks, that is to go to neighbours as it becomes free. Set by each wish.
     pub(super) owed: u32,
 }
 
 impl Share {
     /// Endpoints that this entry may use now or used lately.
-    pub(super) fn used(&self) -> impl Iterator<Item = EndpointId> + '_ {
+    pub(super) fn endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.kept.keys().chain(self.borrowed.keys()).copied()
     }
 
@@ -142,15 +142,15 @@
     }
 
     /// Forgets wishes that are too old or served.
-    pub(super) fn forget(&mut self, now: Time) {
-        self.heard.retain(|_, heard| heard.until > now && heard.want.tasks > 0);
+    pub(super) fn expire_requests(&mut self, now: Time) {
+        self.peer_requests.retain(|_, peer| peer.until > now && peer.request.tasks > 0);
     }
 
     /// Notes that a wish was served in part.
-    pub(super) fn served(&mut self, home: Home, tasks: u32) {
-        if let Some(heard) = self.heard.get_mut(&home) {
-            heard.want.tasks = heard.want.tasks.saturating_sub(tasks);
-            heard.want.held = heard.want.held.saturating_add(tasks);
+    pub(super) fn record_served(&mut self, home: Home, tasks: u32) {
+        if let Some(peer) = self.peer_requests.get_mut(&home) {
+            peer.request.tasks = peer.request.tasks.saturating_sub(tasks);
+            peer.request.held = peer.request.held.saturating_add(tasks);
         }
     }
 
@@ -162,17 +162,18 @@
         demand: &[Demand],
         weight: impl Fn(FirmId) -> Weight,
     ) -> u32 {
-        let wishes = || self.heard.values().filter(|heard| !heard.remote).map(|heard| &heard.want);
-        let total = wishes().fold(held, |sum, want| sum.saturating_add(want.held));
+        let requests =
+            || self.peer_requests.values().filter(|peer| !peer.remote).map(|peer| &peer.request);
+        let total = requests().fold(held, |sum, request| sum.saturating_add(request.held));
         let mut jobs: FxHashMap<FirmId, (u32, u32)> = FxHashMap::default();
-        for one in demand {
-            let (own, all) = jobs.entry(one.firm).or_default();
-            *own = own.saturating_add(one.jobs);
-            *all = all.saturating_add(one.jobs);
+        for firm_demand in demand {
+            let (own, all) = jobs.entry(firm_demand.firm).or_default();
+            *own = own.saturating_add(firm_demand.jobs);
+            *all = all.saturating_add(firm_demand.jobs);
         }
-        for one in wishes().flat_map(|want| &want.demand) {
-            let (_, all) = jobs.entry(one.firm).or_default();
-            *all = all.saturating_add(one.jobs);
+        for firm_demand in requests().flat_map(|request| &request.demand) {
+            let (_, all) = jobs.entry(firm_demand.firm).or_default();
+            *all = all.saturating_add(firm_demand.jobs);
         }
         let weights: u64 = jobs.keys().map(|firm| u64::from(weight(*firm).0)).sum();
         if weights == 0 {
--- a/components/dispatch/src/pool/timer.rs
+++ b/components/dispatch/src/pool/timer.rs
@@ -11,7 +11,7 @@
 
 /// Factor from which a slow endpoint gets a task only when waiting would take longer. Smaller ones
 /// are within what run times of 50 ms to 5 s show of an endpoint by chance.
-const SLOW: f32 = 2.5;
+const SLOW_FACTOR: f32 = 2.5;
 
 impl Pool {
     /// Does what is due.
@@ -20,18 +20,18 @@
         let mut changes = Vec::new();
         self.health.tick(now, &mut changes);
         for (endpoint, change) in changes {
-            self.apply(now, endpoint, change, out);
+            self.apply_health(now, endpoint, change, out);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
     /// When [`Pool::tick`] is due next.
     pub(crate) fn next_timer(&self) -> Time {
         let hold = self.holds.peek().map(|Reverse(hold)| hold.until);
-        let parcel = self.share.parcel.due;
+        let outbox = self.share.outbox.due;
         let health = self.health.next_timer();
-        let wish = self.next_wish();
-        [hold, parcel, health, wish].into_iter().flatten().min().unwrap_or(Time::NEVER)
+        let wish = self.next_capacity_request();
+        [hold, outbox, health, wish].into_iter().flatten().min().unwrap_or(Time::NEVER)
     }
 
     fn release_holds(&mut self, now: Time) {
@@ -45,7 +45,7 @@
     }
 
     /// Carries a change of an endpoint's health over to its placement.
-    pub(super) fn apply(
+    pub(super) fn apply_health(
         &mut self,
         now: Time,
         endpoint: EndpointId,
@@ -60,13 +60,13 @@
             Change::Restore => (true, Cause::Recovered),
         };
         out.push(Action::Log(Decision::Isolate { endpoint, open, cause }));
-        self.reopen(now, endpoint);
+        self.update_open(now, endpoint);
     }
 
     fn set_speed(&mut self, endpoint: EndpointId, factor: f32) {
-        match factor >= SLOW {
-            true => self.slow.insert(endpoint, factor),
-            false => self.slow.remove(&endpoint),
+        match factor >= SLOW_FACTOR {
+            true => self.slow_factors.insert(endpoint, factor),
+            false => self.slow_factors.remove(&endpoint),
         };
         self.placement.set_speed(endpoint, factor);
     }
--- a/components/dispatch/src/pool/trial.rs
+++ b/components/dispatch/src/pool/trial.rs
@@ -4,7 +4,7 @@
 //! with repeatable single requests, and with other tasks only when none of those came for a while
 //! or when most endpoints are on trial.
 
-use super::{Item, Pool};
+use super::{Pool, QueuedTask};
 use site::{
     id::EndpointId,
     submission::Kind,
@@ -12,14 +12,14 @@
 };
 
 /// How long a trial waits for a repeatable request.
-const PATIENCE: Span = Span::from_secs(10);
+const TRIAL_WAIT: Span = Span::from_secs(10);
 
 /// Endpoints on trial that one task is offered to.
-const MAX_OFFERS: usize = 4;
+const MAX_TRIAL_ENDPOINTS: usize = 4;
 
 impl Pool {
     /// Opens or closes an endpoint to work as its health and its leaving allow.
-    pub(super) fn reopen(&mut self, now: Time, endpoint: EndpointId) {
+    pub(super) fn update_open(&mut self, now: Time, endpoint: EndpointId) {
         let usable = !self.is_leaving(endpoint) && self.health.is_open(endpoint);
         let state = self.health.state(endpoint);
         let on_trial = matches!(state, health::State::Suspect | health::State::Probing);
@@ -34,21 +34,21 @@
 
     /// Whether an endpoint is leaving by its own answer, the platform's list or the settings.
     fn is_leaving(&self, endpoint: EndpointId) -> bool {
-        self.said_leaving.contains(&endpoint)
+        self.reported_leaving.contains(&endpoint)
             || self.listed_leaving.contains(&endpoint)
-            || self.index.endpoints.get(&endpoint).is_none_or(|spot| spot.leaving)
+            || self.index.endpoints.get(&endpoint).is_none_or(|resolved| resolved.leaving)
     }
 
     /// Whether so many endpoints are on trial that the cause is likely elsewhere.
     fn is_mostly_on_trial(&self) -> bool {
-        self.trials.len() * 2 > self.share.counted.len()
+        self.trials.len() * 2 > self.share.usable_by_endpoint.len()
     }
 
     /// An endpoint on trial for this task, its resources taken.
     pub(super) fn choose_trial(
         &mut self,
         now: Time,
-        item: &Item,
+        item: &QueuedTask,
         needs: &Resources,
     ) -> Option<EndpointId> {
         if self.trials.is_empty() {
@@ -60,11 +60,11 @@
             .trials
             .iter()
             .filter(|(id, since)| {
-                let due = harmless || now.since(**since) >= PATIENCE;
+                let due = harmless || now.since(**since) >= TRIAL_WAIT;
                 due && !item.avoid.contains(id)
             })
             .map(|(id, _)| *id)
-            .take(MAX_OFFERS)
+            .take(MAX_TRIAL_ENDPOINTS)
             .collect();
         offered.into_iter().find(|id| self.take_trial(now, *id, needs))
     }
--- a/components/dispatch/src/retry.rs
+++ b/components/dispatch/src/retry.rs
@@ -22,9 +22,9 @@
     /// Its output is the task's.
     Answer,
     /// Another attempt is allowed, since this one did not run.
-    AgainNotRun,
+    RetryNotRun,
     /// Another attempt is allowed, since the task is repeatable. Costs budget.
-    AgainRepeat,
+    RetryRepeatable,
     /// The submission fails.
     GiveUp(Outcome, Reason),
 }
@@ -34,8 +34,8 @@
     let may_repeat = submission.kind == Kind::Single && submission.repeatable;
     match reply {
         Reply::Done(_) => Verdict::Answer,
-        Reply::Refused(_) | Reply::NotSent => Verdict::AgainNotRun,
-        Reply::Failed(_) | Reply::Lost if may_repeat => Verdict::AgainRepeat,
+        Reply::Refused(_) | Reply::NotSent => Verdict::RetryNotRun,
+        Reply::Failed(_) | Reply::Lost if may_repeat => Verdict::RetryRepeatable,
         Reply::Failed(_) => Verdict::GiveUp(Outcome::RanAndFailed, Reason::Endpoint),
         Reply::Lost | Reply::Silent => Verdict::GiveUp(Outcome::MayHaveRun, Reason::Endpoint),
         Reply::TimedOut => Verdict::GiveUp(Outcome::MayHaveRun, Reason::Deadline),
@@ -55,10 +55,10 @@
 pub(crate) const MAX_ATTEMPTS: u8 = 32;
 
 /// Budget that a first attempt earns, in thousandths of a repeat.
-const EARNED: u32 = 100;
+const EARNED_MILLIRETRIES: u32 = 100;
 
 /// Most budget that is saved up, in thousandths of a repeat.
-const SAVED: u32 = 10_000;
+const MAX_SAVED_MILLIRETRIES: u32 = 10_000;
 
 /// Repeats that each firm may make: one for ten first attempts, and ten saved up.
 #[derive(Debug, Default)]
@@ -73,15 +73,15 @@
         let Some(left) = self.left.get_mut(&firm) else {
             return;
         };
-        *left += EARNED;
-        if *left >= SAVED {
+        *left += EARNED_MILLIRETRIES;
+        if *left >= MAX_SAVED_MILLIRETRIES {
             self.left.remove(&firm);
         }
     }
 
     /// Takes one repeat, if there is one.
     pub(crate) fn spend(&mut self, firm: FirmId) -> bool {
-        let left = self.left.entry(firm).or_insert(SAVED);
+        let left = self.left.entry(firm).or_insert(MAX_SAVED_MILLIRETRIES);
         match left.checked_sub(1_000) {
             Some(rest) => {
                 *left = rest;
--- a/components/dispatch/tests/cancel.rs
+++ b/components/dispatch/tests/cancel.rs
@@ -83,7 +83,7 @@
         world.cancel(home, work, id(token, unique));
     }
     world.run(Span::from_millis(200));
-    assert_eq!(world.entry(0).open(), 0);
+    assert_eq!(world.entry(0).open_submissions(), 0);
     let waiter = world.submit(home, &Work::job("after", 4), id(token, 99));
     world.run(Span::from_millis(100));
     assert!(matches!(world.book.answer_of(waiter), Some(Answer::Complete(_))));
--- a/components/dispatch/tests/common/platform.rs
+++ b/components/dispatch/tests/common/platform.rs
@@ -2,7 +2,7 @@
 
 use ::site::id::{EndpointId, EntryId, FirmId, Home, SubmissionId};
 use compact_str::CompactString;
-use dispatch::event::Claim;
+use dispatch::event::ClaimResult;
 use std::collections::BTreeMap;
 
 /// How the platform's service answers.
@@ -35,9 +35,9 @@
 }
 
 impl Platform {
-    pub fn claim(&mut self, wanted: Wanted) -> Claim {
+    pub fn claim(&mut self, wanted: Wanted) -> ClaimResult {
         if self.service == Service::Out {
-            return Claim::Out;
+            return ClaimResult::Unavailable;
         }
         let key = (wanted.firm, wanted.key);
         let holder = self.claims.get(&key).copied();
@@ -46,9 +46,9 @@
             self.claims.insert(key, wanted.id);
         }
         match holder {
-            _ if self.service == Service::AnswerLost => Claim::Out,
-            Some(id) if !free && id != wanted.id => Claim::Taken(id),
-            _ => Claim::Won(wanted.id),
+            _ if self.service == Service::AnswerLost => ClaimResult::Unavailable,
+            Some(id) if !free && id != wanted.id => ClaimResult::Taken(id),
+            _ => ClaimResult::Won(wanted.id),
         }
     }
 }
--- a/components/dispatch/tests/common/step.rs
+++ b/components/dispatch/tests/common/step.rs
@@ -265,7 +265,7 @@
         self.world.run(Span::from_secs(45));
         for home in self.world.live() {
             let entry = &self.world.process(home).expect("the process is known").entry;
-            assert_eq!(entry.open(), 0, "submissions stay open at {home}");
+            assert_eq!(entry.open_submissions(), 0, "submissions stay open at {home}");
             assert_eq!(entry.overview().routed, 0, "requests stay open at {home}");
         }
         let unanswered = self.world.book.unanswered();
--- a/components/dispatch/tests/interleave/tests/threads.rs
+++ b/components/dispatch/tests/interleave/tests/threads.rs
@@ -149,7 +149,7 @@
         finish(&entry, &mut actions);
         check(&actions, 3);
         assert_eq!(starts(&actions).len(), 3);
-        assert_eq!(entry.open(), 0);
+        assert_eq!(entry.open_submissions(), 0);
     });
 }
 
@@ -166,7 +166,7 @@
         ];
         actions.extend(race(&entry, Time(50_000), threads));
         check(&actions, 3);
-        assert_eq!(entry.open(), 0);
+        assert_eq!(entry.open_submissions(), 0);
     });
 }
 
@@ -181,7 +181,7 @@
         check(&actions, 2);
         let denied = answers(&actions).iter().any(|(.., answer)| is_not_run(answer));
         assert!(!denied || starts(&actions).is_empty(), "told not to run, and starts");
-        assert_eq!(entry.open(), 0);
+        assert_eq!(entry.open_submissions(), 0);
     });
 }
 
@@ -204,7 +204,7 @@
         finish(&entry, &mut rest);
         let after = handle(&entry, Time(70_000), submit(5, &works[3], ids[3]));
         assert_eq!(starts(&after).len(), 2);
-        assert_eq!(entry.open(), 1);
+        assert_eq!(entry.open_submissions(), 1);
     });
 }
 
--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -48,7 +48,7 @@
     pub id: SubmissionId,
     /// A claim for this identifier gives way.
     pub replaces: Option<SubmissionId>,
-    /// The outcome is [`event::Claim::Out`] when it is not known by then.
+    /// The outcome is [`event::ClaimResult::Unavailable`] when it is not known by then.
     pub until: Time,
 }
 
@@ -144,8 +144,8 @@
         self.engine.metrics().called("claim", true);
         for (wanted, winner) in self.waiters.iter().zip(winners) {
             let result = match *winner == wanted.id {
-                true => event::Claim::Won(*winner),
-                false => event::Claim::Taken(*winner),
+                true => event::ClaimResult::Won(*winner),
+                false => event::ClaimResult::Taken(*winner),
             };
             self.engine.post(Event::Claimed { waiter: wanted.waiter, result });
         }
@@ -154,7 +154,7 @@
     fn fail(&self) {
         self.engine.metrics().called("claim", false);
         for wanted in &self.waiters {
-            let result = event::Claim::Out;
+            let result = event::ClaimResult::Unavailable;
             self.engine.post(Event::Claimed { waiter: wanted.waiter, result });
         }
     }
--- a/components/entry/src/engine.rs
+++ b/components/entry/src/engine.rs
@@ -17,7 +17,7 @@
     Action, Decision, Entry, Event, Message,
     action::Start,
     entry::Options,
-    event::{Claim, Reply, Report},
+    event::{ClaimResult, Reply, Report},
 };
 use endpoint::{Call, Transport};
 use parking_lot::RwLock;
@@ -284,7 +284,7 @@
     fn claim(self: &Arc<Self>, wanted: Wanted) {
         if let Err(full) = self.claims.0.try_send(wanted) {
             let waiter = full.into_inner().waiter;
-            self.post_later(Event::Claimed { waiter, result: Claim::Out });
+            self.post_later(Event::Claimed { waiter, result: ClaimResult::Unavailable });
         }
     }
 
--- a/components/entry/src/overview.rs
+++ b/components/entry/src/overview.rs
@@ -1,7 +1,7 @@
 //! Views for operators.
 
 use crate::Engine;
-use dispatch::entry::{JobView, PeerView};
+use dispatch::entry::{PeerView, PoolView};
 use serde_json::{Value, json};
 use server::backend::Overview;
 use site::{Site, id::DataCentreId};
@@ -42,7 +42,7 @@
     })
 }
 
-fn load(pool: &JobView, site: &Site) -> Value {
+fn load(pool: &PoolView, site: &Site) -> Value {
     let service = site.services.get(&pool.service).map(|service| &service.name);
     json!({ "service": service, "queued": pool.queued, "running": pool.running })
 }
--- a/components/entry/src/process.rs
+++ b/components/entry/src/process.rs
@@ -11,7 +11,7 @@
 };
 use async_channel::Receiver;
 use derive_more::{Display, Error, From};
-use dispatch::entry::{Options, SLOTS_PER_LEAD};
+use dispatch::entry::{DEFAULT_SLOTS_PER_LEAD, Options};
 use endpoint::http;
 use link::{Node, Traffic, tls::Identity};
 use platform::{
@@ -230,7 +230,7 @@
         revision,
         membership: membership::Options::default(),
         answer_bytes: ANSWER_BYTES,
-        slots_per_lead: SLOTS_PER_LEAD,
+        slots_per_lead: DEFAULT_SLOTS_PER_LEAD,
     }
 }
 
--- a/components/wire/tests/common/mod.rs
+++ b/components/wire/tests/common/mod.rs
@@ -5,7 +5,8 @@
     Message,
     action::Status,
     message::{
-        Demand, Giveback, Grant, Handover, Heartbeat, Lend, Record, Settings, Tabled, Usage, Want,
+        CapacityRequest, Demand, Grant, Handover, Heartbeat, HomeTable, Lend, Record,
+        ServiceGrants, Settings, Usage,
     },
 };
 use rand::{Rng, SeedableRng};
@@ -33,10 +34,10 @@
         Message::Query { .. } => 3,
         Message::Progress { .. } => 4,
         Message::Answered { .. } => 5,
-        Message::Want(_) => 6,
+        Message::CapacityRequest(_) => 6,
         Message::Lend(_) => 7,
         Message::Return(_) => 8,
-        Message::Holding(_) => 9,
+        Message::InUse(_) => 9,
         Message::Usage(_) => 10,
         Message::Heartbeat(_) => 11,
         Message::Handover(_) => 12,
@@ -58,10 +59,10 @@
         3 => Message::Query { request, id, firm },
         4 => Message::Progress { request, status: maybe(rng, status) },
         5 => Message::Answered { request, answer: Arc::new(answer(rng)) },
-        6 => Message::Want(want(rng)),
+        6 => Message::CapacityRequest(want(rng)),
         7 => Message::Lend(Lend { service: ServiceId(number(rng)), grants: several(rng, grant) }),
         8 => Message::Return(giveback(rng)),
-        9 => Message::Holding(giveback(rng)),
+        9 => Message::InUse(giveback(rng)),
         10 => Message::Usage(usage(rng)),
         11 => Message::Heartbeat(heartbeat(rng)),
         12 => Message::Handover(handover(rng)),
@@ -170,8 +171,8 @@
     Demand { firm: FirmId(number(rng)), jobs: rng.random() }
 }
 
-fn want(rng: &mut Random) -> Want {
-    Want {
+fn want(rng: &mut Random) -> CapacityRequest {
+    CapacityRequest {
         service: ServiceId(number(rng)),
         tasks: rng.random(),
         held: rng.random(),
@@ -184,8 +185,8 @@
     Grant { endpoint: EndpointId(number(rng)), resources: resources(rng) }
 }
 
-fn giveback(rng: &mut Random) -> Giveback {
-    Giveback { service: ServiceId(number(rng)), grants: several(rng, grant) }
+fn giveback(rng: &mut Random) -> ServiceGrants {
+    ServiceGrants { service: ServiceId(number(rng)), grants: several(rng, grant) }
 }
 
 fn usage(rng: &mut Random) -> Usage {
@@ -220,7 +221,7 @@
         home: home(rng),
         part: rng.random(),
         last: rng.random(),
-        tables: vec![Tabled { home: home(rng), first: 7 }],
+        tables: vec![HomeTable { home: home(rng), first_epoch: 7 }],
         records: several(rng, record),
     }
 }
--- a/fuzz/src/target/peers/generate.rs
+++ b/fuzz/src/target/peers/generate.rs
@@ -9,7 +9,8 @@
     Message,
     action::Status,
     message::{
-        Demand, Giveback, Grant, Handover, Heartbeat, Lend, Record, Settings, Tabled, Usage, Want,
+        CapacityRequest, Demand, Grant, Handover, Heartbeat, HomeTable, Lend, Record,
+        ServiceGrants, Settings, Usage,
     },
 };
 use rand::{Rng, seq::IndexedRandom};
@@ -119,10 +120,10 @@
             4 => Message::Query { request, id, firm },
             5 => Message::Progress { request: self.small(), status: self.status() },
             6 => Message::Answered { request: self.small(), answer: Arc::new(self.answer()) },
-            7..=9 => Message::Want(self.want()),
+            7..=9 => Message::CapacityRequest(self.want()),
             10 | 11 => Message::Lend(Lend { service: self.pool(), grants: self.grants() }),
             12 => Message::Return(self.giveback()),
-            13 => Message::Holding(self.giveback()),
+            13 => Message::InUse(self.giveback()),
             14 => Message::Usage(self.usage()),
             15 => Message::Heartbeat(self.heartbeat()),
             16 => Message::Handover(self.handover()),
@@ -239,8 +240,8 @@
         Demand { firm: self.firm(), jobs: self.narrow() }
     }
 
-    fn want(&mut self) -> Want {
-        Want {
+    fn want(&mut self) -> CapacityRequest {
+        CapacityRequest {
             service: self.pool(),
             tasks: self.narrow(),
             held: self.narrow(),
@@ -267,8 +268,8 @@
         grants
     }
 
-    fn giveback(&mut self) -> Giveback {
-        Giveback { service: self.pool(), grants: self.grants() }
+    fn giveback(&mut self) -> ServiceGrants {
+        ServiceGrants { service: self.pool(), grants: self.grants() }
     }
 
     fn usage(&mut self) -> Usage {
@@ -284,8 +285,8 @@
         }
     }
 
-    fn tabled(&mut self) -> Tabled {
-        Tabled { home: self.home(), first: self.narrow() }
+    fn tabled(&mut self) -> HomeTable {
+        HomeTable { home: self.home(), first_epoch: self.narrow() }
     }
 
     fn record(&mut self) -> Record {
--- a/fuzz/src/target/peers/play.rs
+++ b/fuzz/src/target/peers/play.rs
@@ -9,7 +9,9 @@
     Action, Entry, Event, Message,
     action::Start,
     event::{Reply, Report},
-    message::{Giveback, Grant, Handover, Heartbeat, Lend, Record, Tabled, Usage, Want},
+    message::{
+        CapacityRequest, Grant, Handover, Heartbeat, HomeTable, Lend, Record, ServiceGrants, Usage,
+    },
 };
 use site::{
     id::{DataCentreId, EndpointId, EntryId, FirmId, Home, Incarnation, ServiceId, WaiterId},
@@ -231,7 +233,7 @@
             draining: false,
             adopted: vec![home],
         }),
-        Flood::Tables => handover(vec![Tabled { home, first: 0 }], vec![]),
+        Flood::Tables => handover(vec![HomeTable { home, first_epoch: 0 }], vec![]),
         Flood::Records => {
             let (outcome, reason) = (Outcome::MayHaveRun, Reason::Endpoint);
             let answer = Err(Failure { outcome, reason, retry_after: None });
@@ -250,7 +252,7 @@
                 tasks: vec![],
             }),
         },
-        Flood::Wants => Message::Want(Want {
+        Flood::Wants => Message::CapacityRequest(CapacityRequest {
             service: ServiceId::of("cut"),
             tasks: 1,
             held: 0,
@@ -259,7 +261,7 @@
         }),
         Flood::Lends => Message::Lend(Lend { service: ServiceId::of("cut"), grants: grants() }),
         Flood::Holdings => {
-            Message::Holding(Giveback { service: ServiceId::of("cut"), grants: grants() })
+            Message::InUse(ServiceGrants { service: ServiceId::of("cut"), grants: grants() })
         }
         Flood::Usage => Message::Usage(Usage {
             service: ServiceId::of("cut"),
--- a/fuzz/src/target/peers/step.rs
+++ b/fuzz/src/target/peers/step.rs
@@ -51,11 +51,11 @@
     Records,
     /// [`Message::Submit`] of repeatable requests of homes that are gone.
     Submit,
-    /// [`Message::Want`] for unknown firms.
+    /// [`Message::CapacityRequest`] for unknown firms.
     Wants,
     /// [`Message::Lend`] of unknown endpoints.
     Lends,
-    /// [`Message::Holding`] of unknown endpoints.
+    /// [`Message::InUse`] of unknown endpoints.
     Holdings,
     /// [`Message::Usage`] of unknown firms.
     Usage,
