--- a/components/dispatch/src/action.rs
+++ b/components/dispatch/src/action.rs
@@ -1,4 +1,4 @@
-//! What an entry wants done.
+//! Actions that the decision logic asks its caller to carry out, and the decision log.
 
 use crate::Message;
 use compact_str::CompactString;
@@ -18,89 +18,90 @@
 pub enum Action {
     /// Send a task to an endpoint. Answered by exactly one [`crate::event::Report`].
     Start(Start),
-    /// End an attempt whose answer is no longer wanted, where the endpoint can. Its report still
-    /// follows.
+    /// Stop an attempt whose output is no longer needed, if the endpoint supports it. Its report
+    /// still follows.
     Stop {
-        /// The attempt.
+        /// The attempt to stop.
         attempt: AttemptId,
-        /// Where it runs.
+        /// Endpoint on which it runs.
         endpoint: EndpointId,
     },
-    /// Give a caller its final answer.
+    /// Send a caller its final answer.
     Answer {
-        /// Who waits.
+        /// Caller to answer.
         waiter: WaiterId,
-        /// The submission it belongs to.
+        /// The submission that the answer belongs to.
         id: SubmissionId,
-        /// Complete or failed.
+        /// The final answer: outputs of all tasks, or a failure.
         answer: Arc<Answer>,
     },
-    /// Tell a caller how far its submission has come.
+    /// Send a caller the status of its submission.
     Status {
-        /// Who waits.
+        /// Caller to answer.
         waiter: WaiterId,
         /// `None` when the identifier is unknown here or belongs to another firm.
         status: Option<Status>,
     },
-    /// Send a message to a peer. A peer without a connection gets one or the message is dropped;
-    /// [`crate::Event::PeerDown`] tells.
+    /// Send a message to a peer. If there is no connection, one is opened or the message is
+    /// dropped; a dropped message is reported by [`crate::Event::PeerDown`].
     Send {
-        /// The peer.
+        /// The receiver.
         to: Home,
-        /// What to say.
+        /// The message.
         message: Message,
     },
-    /// Claim a key for an identifier by compare-and-swap. Answered by exactly one
+    /// Claim an idempotency key for an identifier by compare-and-swap. Answered by exactly one
     /// [`crate::Event::Claimed`].
     Claim {
-        /// Who waits.
+        /// Caller to answer.
         waiter: WaiterId,
-        /// The key's firm.
+        /// Firm that the key belongs to.
         firm: FirmId,
-        /// The key.
+        /// The caller's key.
         key: CompactString,
-        /// What the key shall stand for.
+        /// Identifier that the key should stand for.
         id: SubmissionId,
-        /// An identifier that is known to be refused for good; a claim for it gives way.
+        /// Identifier of a submission that was rejected for good; a claim that holds it is
+        /// replaced.
         replaces: Option<SubmissionId>,
-        /// Give up after this time.
+        /// Time after which the claim is given up.
         time_limit: Span,
     },
     /// Write a line to the decision log.
     Log(Decision),
-    /// A drain has finished: nothing is open and the table is handed over.
+    /// Exit the process: the drain has finished, nothing is open and the table is handed over.
     Exit,
 }
 
-/// Sends a task to an endpoint.
+/// Order to send a task to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// Names the attempt in its report.
+    /// Identifier of the attempt, repeated in its report.
     pub attempt: AttemptId,
-    /// Where to.
+    /// Endpoint to send the task to.
     pub endpoint: EndpointId,
-    /// What.
+    /// The task.
     pub task: TaskId,
-    /// Holds the task's body at `task.index`.
+    /// The submission; the task's body is at `task.index`.
     pub submission: Arc<Submission>,
-    /// What is reserved for it.
+    /// Resources reserved for the task.
     pub needs: Resources,
-    /// Report [`crate::event::Reply::TimedOut`] after this time.
+    /// Time after which [`crate::event::Reply::TimedOut`] must be reported.
     pub time_limit: Span,
 }
 
-/// How far a submission has come.
+/// Progress of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Tasks in it.
+    /// Number of tasks of the submission.
     pub tasks: u16,
-    /// Tasks that have answered.
+    /// Number of tasks that have completed.
     pub done: u16,
-    /// Whether the final answer is ready.
+    /// Whether the final answer is available.
     pub finished: bool,
 }
 
-/// A routing or placement decision and its reason, for the log.
+/// A routing or placement decision and its reason, for the decision log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "decision", rename_all = "kebab-case")]
 pub enum Decision {
@@ -108,57 +109,57 @@
     Admit {
         /// The submission.
         id: SubmissionId,
-        /// Whose.
+        /// Firm of the submission.
         firm: FirmId,
-        /// What for.
+        /// The requested service.
         service: ServiceId,
-        /// Tasks in it.
+        /// Number of tasks of the submission.
         tasks: u16,
-        /// Expected time until its answer.
+        /// Expected time until the final answer.
         expected: Span,
-        /// Tasks queued before it.
+        /// Number of tasks that were queued before it was added.
         queued: u32,
     },
-    /// A submission was refused or given up.
+    /// A submission was rejected, or ended with a failure.
     Refuse {
         /// The submission.
         id: SubmissionId,
-        /// Whose.
+        /// Firm of the submission.
         firm: FirmId,
-        /// The answer given.
+        /// The failure sent to the caller.
         failure: site::submission::Failure,
     },
-    /// A submission was sent on to its home.
+    /// A request was forwarded to the submission's home or another entry.
     Forward {
         /// The submission.
         id: SubmissionId,
-        /// Where to.
+        /// Entry that it was forwarded to.
         to: Home,
     },
-    /// A task was placed.
+    /// A task was placed on an endpoint.
     Place {
         /// The task.
         task: TaskId,
-        /// Whose.
+        /// Firm of the submission.
         firm: FirmId,
-        /// Where.
+        /// Endpoint that the task was placed on.
         endpoint: EndpointId,
-        /// Counts from 1.
+        /// Number of the attempt, counted from 1.
         attempt: u8,
-        /// Whether the capacity was the entry's own or lent by another.
+        /// Whether this entry keeps the endpoint or borrowed its capacity.
         source: Source,
-        /// Tasks still queued.
+        /// Number of tasks still queued.
         queued: u32,
-        /// Endpoints that had room.
+        /// Free slots of the pool at this entry after the placement.
         candidates: u32,
     },
-    /// An attempt ended without an answer, and this follows.
+    /// An attempt ended without an output for its task.
     Retry {
         /// The task.
         task: TaskId,
-        /// Where it failed.
+        /// Endpoint of the failed attempt.
         endpoint: EndpointId,
-        /// Attempts made so far.
+        /// Number of attempts made so far.
         attempt: u8,
         /// Whether another attempt follows.
         again: bool,
@@ -167,48 +168,48 @@
     Lend {
         /// The borrower.
         to: Home,
-        /// What for.
+        /// The requested service.
         service: ServiceId,
-        /// How much.
+        /// Number of slots lent.
         slots: u32,
     },
-    /// An endpoint's use was changed.
+    /// An endpoint was opened or closed for new work.
     Isolate {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether it may get work now.
+        /// Whether the endpoint may get work now.
         open: bool,
-        /// Why.
+        /// Reason for the change.
         cause: Cause,
     },
-    /// The members of a data centre changed.
+    /// The live entries of the cluster were determined again.
     Members {
-        /// The data centre.
+        /// Data centre of this entry.
         data_centre: DataCentreId,
-        /// Live entries.
+        /// Number of live entries.
         live: u32,
     },
 }
 
-/// Whose capacity a task was placed on.
+/// Whether the capacity a task was placed on was kept or borrowed by the entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
     /// This entry keeps the endpoint.
     Kept,
-    /// Lent by the endpoint's keeper.
+    /// The endpoint's keeper lent the capacity.
     Lent,
 }
 
-/// Why an endpoint's use changed.
+/// Reason why an endpoint was opened or closed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Its recent attempts failed.
+    /// Recent attempts on it failed.
     Failures,
-    /// It is probed.
+    /// It is opened to be probed.
     Probe,
-    /// It answers again.
+    /// It responds again.
     Recovered,
     /// It is leaving.
     Leaving,
--- a/components/dispatch/src/entry/answer.rs
+++ b/components/dispatch/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! Telling those who wait.
+//! Sends answers and statuses to waiting callers and peers.
 
 use super::Entry;
 use crate::{Action, Decision, Message, action::Status};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl Entry {
-    /// Gives one waiter the final answer.
+    /// Sends one waiter the final answer.
     pub(super) fn answer(
         &self,
         now: Time,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Gives everyone who waits the final answer.
+    /// Sends all waiters of a finished submission the final answer.
     pub(super) fn deliver(
         &self,
         now: Time,
@@ -45,7 +45,7 @@
         self.continue_drain(now, out);
     }
 
-    /// Answers with a failure that is not the submission's fixed answer.
+    /// Rejects a request with a failure that is not stored as the submission's answer, and logs it.
     pub(super) fn reject(
         &self,
         now: Time,
@@ -59,7 +59,7 @@
         self.answer(now, waiter, id, Arc::new(Answer::Failed(failure)), out);
     }
 
-    /// Tells one waiter how far a submission has come.
+    /// Sends one waiter the status of a submission.
     pub(super) fn send_status(
         &self,
         waiter: Waiter,
--- a/components/dispatch/src/entry/drain.rs
+++ b/components/dispatch/src/entry/drain.rs
@@ -1,4 +1,5 @@
-//! A planned stop: the table goes to a successor; and the other end of it.
+//! Drains an entry: hands its submission table over to a successor. Also receives such a table from
+//! another entry.
 
 use super::{EPOCH, EPOCHS, Entry, handovers::OutgoingHandover};
 use crate::{
@@ -13,33 +14,35 @@
 };
 use std::sync::atomic::Ordering;
 
-/// Most bytes of answers in one part of a handover, but for the answer that exceeds it.
+/// Maximum size, in bytes, of the answers in one part of a handover. A single larger answer makes a
+/// part of its own.
 const MAX_PART_BYTES: usize = 512 << 10;
 
-/// Most submissions in one part of a handover.
+/// Maximum number of submissions in one part of a handover.
 const MAX_PART_RECORDS: usize = 4_096;
 
-/// Longest time that a handover may take; the process ends then without it.
+/// Maximum duration of a handover. After that the process exits without completing it.
 const HANDOVER_TIME_LIMIT: Span = Span::from_secs(10);
 
-/// How long a moved or adopted table is remembered: as long as its identifiers were accepted.
+/// Time for which a table that was taken over, or a token of another home, is remembered: the time
+/// for which the identifiers are accepted.
 const TABLE_RETENTION: Span = Span(EPOCH.0 * EPOCHS as u64);
 
-/// Where the table of a home is.
+/// Location of a home's submission table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum TableLocation {
-    /// At this entry, taken over.
+    /// At this entry, as its own table or taken over.
     Local,
     /// At the home itself or its successor.
     Remote(Home),
     /// At the home, which can't be reached now.
     Unreachable,
-    /// Nowhere.
+    /// Lost: the home is gone without a successor.
     Gone,
 }
 
 impl Entry {
-    /// Where the table of `home` is.
+    /// Returns the location of the table of `home`.
     pub(super) fn locate_table(&self, now: Time, home: Home) -> TableLocation {
         if home == self.home || self.handovers.lock().holds(home) {
             return TableLocation::Local;
@@ -53,12 +56,12 @@
         }
     }
 
-    /// Notes that a request was admitted under another home's token.
+    /// Records that a request was admitted under another home's token.
     pub(super) fn remember_foreign(&self, now: Time, token: Token) {
         self.handovers.lock().foreign_tokens.insert(token, now);
     }
 
-    /// Admits nothing more from now on.
+    /// Starts the drain: stops admission and notifies the peers.
     pub(super) fn drain(&self, now: Time, out: &mut Vec<Action>) {
         if self.draining.swap(true, Ordering::Relaxed) {
             return;
@@ -84,14 +87,19 @@
         live
     }
 
-    /// Hands the table over once nothing is open any more, and ends the process after that.
+    /// Hands the table over once nothing is open, and exits when the handover is done or has timed
+    /// out.
     pub(super) fn continue_drain(&self, now: Time, out: &mut Vec<Action>) {
         if !self.is_draining() || !self.is_idle() {
             return;
         }
-        let handed =
-            self.handovers.lock().outgoing.as_ref().map(|own| own.done || now >= own.deadline);
-        match handed {
+        let is_finished = self
+            .handovers
+            .lock()
+            .outgoing
+            .as_ref()
+            .map(|outgoing| outgoing.done || now >= outgoing.deadline);
+        match is_finished {
             Some(true) => self.exit(out),
             Some(false) => {}
             None => {
@@ -101,22 +109,23 @@
         }
     }
 
-    /// Whether nothing is open. Looks in the order in which a request moves on; the caller is the
-    /// only one that handles an event, or it is not idle.
+    /// Returns whether nothing is open. The checks follow the order in which a request moves from
+    /// one stage to the next. Returns false while another thread handles an event, since that may
+    /// still open something.
     fn is_idle(&self) -> bool {
         self.active_calls.load(Ordering::SeqCst) == 1
             && self.claims.lock().is_empty()
-            && self.routes.lock().is_empty()
+            && self.forwarded.lock().is_empty()
             && self.shards.iter().all(|shard| shard.lock().open() == 0)
     }
 
-    /// A live entry, one of the own data centre if there is any.
-    fn choose_successor(&self, not: Option<Home>) -> Option<Home> {
+    /// Chooses a live entry, preferably one of the own data centre.
+    fn choose_successor(&self, except: Option<Home>) -> Option<Home> {
         let peers = self.live_peers();
-        let mut willing = peers.into_iter().filter(|home| Some(*home) != not);
+        let mut candidates = peers.into_iter().filter(|home| Some(*home) != except);
         let own = self.home.data_centre;
-        let first = willing.clone().find(|home| home.data_centre == own);
-        first.or_else(|| willing.next())
+        let local = candidates.clone().find(|home| home.data_centre == own);
+        local.or_else(|| candidates.next())
     }
 
     fn hand_over(&self, now: Time, successor: Option<Home>, deadline: Time, out: &mut Vec<Action>) {
@@ -136,32 +145,32 @@
             tables: tables.clone(),
             records,
         });
-        let own = OutgoingHandover {
+        let outgoing = OutgoingHandover {
             successor,
             last_sent: 0,
             parts: parts.collect(),
             deadline,
             done: false,
         };
-        self.handovers.lock().outgoing = Some(own);
+        self.handovers.lock().outgoing = Some(outgoing);
         self.schedule_tick(deadline.min(now + HANDOVER_TIME_LIMIT));
         self.send_part(out);
     }
 
-    /// Sends the next part of the own handover. One part is under way at a time, so that a large
-    /// table does not overflow the connection's queue.
+    /// Sends the next part of the outgoing handover. Only one part is in flight at a time, so that
+    /// a large table does not overflow the connection's queue.
     fn send_part(&self, out: &mut Vec<Action>) {
         let mut handovers = self.handovers.lock();
-        let Some(own) = handovers.outgoing.as_mut() else {
+        let Some(outgoing) = handovers.outgoing.as_mut() else {
             return;
         };
-        if let Some(part) = own.parts.pop_front() {
-            own.last_sent = part.part;
-            out.push(Action::Send { to: own.successor, message: Message::Handover(part) });
+        if let Some(part) = outgoing.parts.pop_front() {
+            outgoing.last_sent = part.part;
+            out.push(Action::Send { to: outgoing.successor, message: Message::Handover(part) });
         }
     }
 
-    /// The table in parts; at least one.
+    /// Splits the table into parts; there is at least one.
     fn split_table(&self) -> Vec<Vec<Record>> {
         let mut parts = vec![Vec::new()];
         let mut bytes = 0;
@@ -187,13 +196,13 @@
         parts
     }
 
-    /// Starts the handover again: with another successor when the chosen one is lost or stops
-    /// itself, with the same one when its connection is back and there is no other.
+    /// Restarts the handover: with another successor when the chosen one is lost or starts to
+    /// drain, or with the same one when its connection is back and there is no other.
     pub(super) fn restart_handover(&self, now: Time, peer: Home, out: &mut Vec<Action>) {
         let deadline = {
             let handovers = self.handovers.lock();
-            let pending = handovers.outgoing.as_ref().filter(|own| !own.done);
-            pending.filter(|own| own.successor == peer).map(|own| own.deadline)
+            let pending = handovers.outgoing.as_ref().filter(|outgoing| !outgoing.done);
+            pending.filter(|outgoing| outgoing.successor == peer).map(|outgoing| outgoing.deadline)
         };
         let Some(deadline) = deadline else {
             return;
@@ -206,7 +215,7 @@
         }
     }
 
-    /// Takes over a part of a stopping home's table.
+    /// Stores a part of a draining home's table.
     pub(super) fn receive_handover(
         &self,
         now: Time,
@@ -219,7 +228,8 @@
             return;
         }
         for record in records {
-            // A request that the sender ran for a home that was gone belongs to no whole table.
+            // A request that the sender admitted for a home that was gone belongs to none of the
+            // complete tables.
             if !tables.iter().any(|table| table.home == record.id.home()) {
                 self.remember_foreign(now, record.id.token);
             }
@@ -260,7 +270,7 @@
         }
     }
 
-    /// Notes that the successor has stored a part.
+    /// Handles the successor's confirmation that it has stored a part.
     pub(super) fn part_stored(
         &self,
         now: Time,
@@ -270,12 +280,14 @@
         out: &mut Vec<Action>,
     ) {
         let mut handovers = self.handovers.lock();
-        let own = handovers.outgoing.as_mut().filter(|own| own.successor == from);
-        let Some(own) = own.filter(|own| own.is_awaiting(part) && home == self.home) else {
+        let outgoing = handovers.outgoing.as_mut().filter(|outgoing| outgoing.successor == from);
+        let Some(outgoing) =
+            outgoing.filter(|outgoing| outgoing.is_awaiting(part) && home == self.home)
+        else {
             return;
         };
-        own.done = own.parts.is_empty();
-        let done = own.done;
+        outgoing.done = outgoing.parts.is_empty();
+        let done = outgoing.done;
         drop(handovers);
         match done {
             true => self.continue_drain(now, out),
@@ -291,7 +303,7 @@
         }
     }
 
-    /// Takes notice of a table that changed hands.
+    /// Records the successor of a home that has stopped.
     pub(super) fn table_moved(
         &self,
         now: Time,
@@ -303,7 +315,7 @@
         self.apply_changes(now, false, out);
     }
 
-    /// Forgets tables that are too old.
+    /// Drops tables and tokens of other homes whose identifiers are no longer accepted.
     pub(super) fn forget_old_tables(&self, now: Time) {
         let mut forgotten = Vec::new();
         {
--- a/components/dispatch/src/entry/forwarded.rs
+++ b/components/dispatch/src/entry/forwarded.rs
@@ -1,4 +1,4 @@
-//! Requests that were sent on to another entry.
+//! Keeps the requests that were forwarded to other entries and are not yet answered.
 
 use crate::{Message, message::RequestId};
 use rustc_hash::FxHashMap;
@@ -13,128 +13,124 @@
     sync::Arc,
 };
 
-/// How long a status or a cancellation is waited for.
+/// Time for which the answer to a forwarded status request or cancellation is awaited.
 pub(super) const STATUS_TIME_LIMIT: Span = Span::from_secs(5);
 
-/// How long after a caller's deadline the home's own final answer is waited for.
+/// Time after a caller's deadline for which the home's own final answer is still awaited.
 pub(super) const ANSWER_GRACE: Span = Span::from_millis(20);
 
-/// What a caller asks of a home.
+/// A caller's request to the home of a submission.
 #[derive(Clone, Debug)]
-pub(super) enum Request {
-    /// Submit, or submit again.
+pub(super) enum Call {
+    /// Submit, possibly again.
     Submit(Arc<Submission>),
     /// Wait for the answer.
     Fetch { id: SubmissionId, firm: FirmId },
-    /// Cancel.
+    /// Cancel the submission.
     Cancel { id: SubmissionId, firm: FirmId },
-    /// Ask how far it has come.
+    /// Request the status.
     Query { id: SubmissionId, firm: FirmId },
 }
 
-impl Request {
+impl Call {
     pub(super) fn id(&self) -> SubmissionId {
         match self {
-            Request::Submit(submission) => submission.id,
-            Request::Fetch { id, .. } | Request::Cancel { id, .. } | Request::Query { id, .. } => {
-                *id
-            }
+            Call::Submit(submission) => submission.id,
+            Call::Fetch { id, .. } | Call::Cancel { id, .. } | Call::Query { id, .. } => *id,
         }
     }
 
     pub(super) fn firm(&self) -> FirmId {
         match self {
-            Request::Submit(submission) => submission.firm,
-            Request::Fetch { firm, .. }
-            | Request::Cancel { firm, .. }
-            | Request::Query { firm, .. } => *firm,
+            Call::Submit(submission) => submission.firm,
+            Call::Fetch { firm, .. } | Call::Cancel { firm, .. } | Call::Query { firm, .. } => {
+                *firm
+            }
         }
     }
 
-    /// The message, with what is left until the caller's deadline.
+    /// Returns the message to forward, with the time left until the caller's deadline.
     pub(super) fn message(&self, request: RequestId, deadline: Span) -> Message {
         match self {
-            Request::Submit(submission) => {
+            Call::Submit(submission) => {
                 let mut submission = submission.clone();
                 if submission.deadline > deadline {
                     Arc::make_mut(&mut submission).deadline = deadline;
                 }
                 Message::Submit { request, submission }
             }
-            Request::Fetch { id, firm } => {
-                Message::Fetch { request, id: *id, firm: *firm, deadline }
-            }
-            Request::Cancel { id, firm } => Message::Cancel { request, id: *id, firm: *firm },
-            Request::Query { id, firm } => Message::Query { request, id: *id, firm: *firm },
+            Call::Fetch { id, firm } => Message::Fetch { request, id: *id, firm: *firm, deadline },
+            Call::Cancel { id, firm } => Message::Cancel { request, id: *id, firm: *firm },
+            Call::Query { id, firm } => Message::Query { request, id: *id, firm: *firm },
         }
     }
 
     /// Whether another entry may run it once its home is gone.
     pub(super) fn may_run_elsewhere(&self) -> bool {
         match self {
-            Request::Submit(s) => s.kind == Kind::Single && s.repeatable,
+            Call::Submit(s) => s.kind == Kind::Single && s.repeatable,
             _ => false,
         }
     }
 }
 
-/// A request that was sent on and has no answer yet.
+/// A forwarded request that has no answer yet.
 #[derive(Clone, Debug)]
 pub(super) struct ForwardedRequest {
     pub(super) waiter: WaiterId,
-    pub(super) ask: Request,
+    pub(super) call: Call,
     pub(super) to: Home,
     pub(super) deadline: Time,
 }
 
-/// All requests that were sent on.
+/// All forwarded requests that have no answer yet.
 #[derive(Debug, Default)]
 pub(super) struct ForwardedRequests {
-    last: RequestId,
+    last_id: RequestId,
     open: FxHashMap<RequestId, ForwardedRequest>,
-    /// By home, to find what a change of the home concerns.
+    /// Requests by the entry that they were forwarded to.
     pub(super) by_home: FxHashMap<Home, BTreeSet<RequestId>>,
-    /// By caller.
+    /// Requests by caller.
     by_waiter: FxHashMap<WaiterId, RequestId>,
     deadlines: BinaryHeap<Reverse<(Time, RequestId)>>,
 }
 
 impl ForwardedRequests {
-    pub(super) fn add(&mut self, route: ForwardedRequest) -> RequestId {
-        self.last += 1;
-        let request = self.last;
-        self.deadlines.push(Reverse((route.deadline, request)));
-        self.by_home.entry(route.to).or_default().insert(request);
-        self.by_waiter.insert(route.waiter, request);
-        self.open.insert(request, route);
+    pub(super) fn add(&mut self, pending: ForwardedRequest) -> RequestId {
+        self.last_id += 1;
+        let request = self.last_id;
+        self.deadlines.push(Reverse((pending.deadline, request)));
+        self.by_home.entry(pending.to).or_default().insert(request);
+        self.by_waiter.insert(pending.waiter, request);
+        self.open.insert(request, pending);
         request
     }
 
     pub(super) fn remove(&mut self, request: RequestId) -> Option<ForwardedRequest> {
-        let route = self.open.remove(&request)?;
-        self.by_waiter.remove(&route.waiter);
-        if let Some(requests) = self.by_home.get_mut(&route.to) {
+        let pending = self.open.remove(&request)?;
+        self.by_waiter.remove(&pending.waiter);
+        if let Some(requests) = self.by_home.get_mut(&pending.to) {
             requests.remove(&request);
             if requests.is_empty() {
-                self.by_home.remove(&route.to);
+                self.by_home.remove(&pending.to);
             }
         }
-        Some(route)
+        Some(pending)
     }
 
-    /// Forgets what a caller waits for.
+    /// Removes the request of a caller that no longer waits.
     pub(super) fn abandon(&mut self, waiter: WaiterId) {
         if let Some(request) = self.by_waiter.get(&waiter).copied() {
             self.remove(request);
         }
     }
 
-    /// Whether nothing is waited for.
+    /// Returns whether no forwarded request is open.
     pub(super) fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Requests that wait for other entries.
+    /// Returns the number of forwarded requests that are open.
     pub(super) fn len(&self) -> usize {
         self.open.len()
     }
@@ -156,7 +152,7 @@
         due
     }
 
-    /// The earliest deadline; it may belong to a request that was answered.
+    /// Returns the earliest deadline. It may belong to a request that has been answered.
     pub(super) fn next_deadline(&self) -> Time {
         self.deadlines.peek().map_or(Time::NEVER, |Reverse((time, _))| *time)
     }
--- a/components/dispatch/src/entry/handovers.rs
+++ b/components/dispatch/src/entry/handovers.rs
@@ -1,4 +1,4 @@
-//! Tables that changed hands.
+//! Records which submission tables have been handed over to which entry.
 
 use crate::message::{Handover, HomeTable};
 use rustc_hash::FxHashMap;
@@ -8,50 +8,53 @@
 };
 use std::collections::VecDeque;
 
-/// Most homes whose successor is remembered: many times those that stop in the time for which a table is kept.
+/// Maximum number of homes whose successor is remembered. This is many times the number of homes
+/// that stop while a table is kept.
 const MAX_SUCCESSORS: usize = 4_096;
 
-/// Tables that changed hands, and the own handover.
+/// Tables that have been handed over, and the outgoing handover of this entry.
 #[derive(Debug, Default)]
 pub(super) struct Handovers {
-    /// Who keeps the table of a home that has stopped. An entry that keeps it itself is absent.
+    /// Entry that holds the table of each stopped home. Homes whose table this entry itself holds
+    /// are absent.
     pub(super) successors: FxHashMap<Home, Home>,
-    /// Homes in `successors`, oldest first; never more than [`MAX_MOVED`].
+    /// Homes in `successors`, oldest first; never more than [`MAX_SUCCESSORS`].
     pub(super) successor_order: VecDeque<Home>,
-    /// Tables that this entry keeps, with the time they arrived.
+    /// Tables that this entry has taken over, with the time of their arrival.
     pub(super) held: VecDeque<(Time, HomeTable)>,
-    /// Tables that are arriving, with the next part.
+    /// Homes whose table is being received, with the number of the next part.
     pub(super) incoming_parts: FxHashMap<Home, u32>,
-    /// Tokens of other homes under which this entry admitted requests.
+    /// Tokens of other homes under which this entry admitted requests, with the time of the latest
+    /// one.
     pub(super) foreign_tokens: FxHashMap<Token, Time>,
     pub(super) outgoing: Option<OutgoingHandover>,
-    /// Whether the exit was announced.
+    /// Whether [`crate::Action::Exit`] was emitted.
     pub(super) exited: bool,
 }
 
-/// The own handover.
+/// The handover of this entry's own table.
 #[derive(Debug)]
 pub(super) struct OutgoingHandover {
     pub(super) successor: Home,
-    /// The part that was sent last.
+    /// Number of the part that was sent last.
     pub(super) last_sent: u32,
-    /// Parts that are not sent yet; the next one goes when the one before is stored.
+    /// Parts that are not yet sent. The next one is sent when the previous one is stored.
     pub(super) parts: VecDeque<Handover>,
-    /// Given up then.
+    /// Time at which the handover is given up.
     pub(super) deadline: Time,
-    /// The successor has stored all of it.
+    /// Whether the successor has stored all parts.
     pub(super) done: bool,
 }
 
 impl OutgoingHandover {
-    /// Whether `part` is the one that is under way.
+    /// Returns whether `part` is the one in flight.
     pub(super) fn is_awaiting(&self, part: u32) -> bool {
         !self.done && part == self.last_sent
     }
 }
 
 impl Handovers {
-    /// Notes who keeps a home's table.
+    /// Records which entry holds a home's table.
     pub(super) fn record_successor(&mut self, home: Home, successor: Home) {
         if home == successor || self.holds(home) {
             return;
@@ -65,34 +68,35 @@
         }
     }
 
-    /// Who keeps the table of a home, if it moved.
+    /// Returns the entry that holds the table of a home, if it was handed over.
     pub(super) fn successor(&self, home: Home) -> Option<Home> {
         self.successors.get(&home).copied()
     }
 
-    /// Homes whose tables this entry keeps, latest first.
-    pub(super) fn held_homes(&self, most: usize) -> Vec<Home> {
-        self.held.iter().rev().take(most).map(|(_, table)| table.home).collect()
+    /// Returns up to `most` homes whose tables this entry holds, latest first.
+    pub(super) fn held_homes(&self, limit: usize) -> Vec<Home> {
+        self.held.iter().rev().take(limit).map(|(_, table)| table.home).collect()
     }
 
     pub(super) fn holds(&self, home: Home) -> bool {
         self.held.iter().any(|(_, table)| table.home == home)
     }
 
-    /// Whether a home had forgotten the epoch of a token when its table was handed over.
+    /// Returns whether a home had already dropped the epoch of a token when its table was handed
+    /// over.
     pub(super) fn is_forgotten(&self, token: Token) -> bool {
         let table = self.held.iter().find(|(_, table)| table.home == token.home);
         table.is_none_or(|(_, table)| token.epoch < table.first_epoch)
     }
 
-    /// Notes a part of a table. Returns whether all parts before it arrived too.
+    /// Counts a received part of a table. Returns whether it is the next one expected.
     pub(super) fn accept_part(&mut self, home: Home, part: u32) -> bool {
         let next = self.incoming_parts.entry(home).or_default();
         if part == 0 {
             *next = 0;
         }
-        let fits = part == *next;
-        *next += u32::from(fits);
-        fits
+        let is_next = part == *next;
+        *next += u32::from(is_next);
+        is_next
     }
 }
--- a/components/dispatch/src/entry/keyed.rs
+++ b/components/dispatch/src/entry/keyed.rs
@@ -1,5 +1,5 @@
-//! Submissions under a caller's own key. Which identifier a key stands for is agreed on through
-//! the platform's key-value service.
+//! Handles submissions under a caller's idempotency key. The platform's key-value service decides
+//! which submission identifier a key stands for (key claim).
 
 use super::{
     Entry,
@@ -16,10 +16,10 @@
 };
 use std::sync::Arc;
 
-/// When a caller may come back while the platform's service is out.
+/// Retry delay sent to a caller while the platform's key-value service is unavailable.
 const PLATFORM_RETRY_AFTER: Span = Span::from_secs(2);
 
-/// Longest wait for a claim.
+/// Maximum time to wait for a key claim.
 const CLAIM_TIME_LIMIT: Span = Span::from_secs(2);
 
 /// A keyed submission that has no answer yet.
@@ -29,9 +29,9 @@
     first: bool,
     submission: Arc<Submission>,
     deadline: Time,
-    /// The identifier that the key turned out to stand for, when another request had claimed it.
+    /// Identifier that the key stands for, if another request had claimed the key before.
     taken: Option<SubmissionId>,
-    /// Whether the claim was already replaced once for this request.
+    /// Whether the claim has already been replaced once for this request.
     replaced: bool,
 }
 
@@ -39,7 +39,8 @@
 pub(super) type Claims = FxHashMap<WaiterId, KeyedSubmission>;
 
 impl Entry {
-    /// Finds out what the key stands for, and submits under that.
+    /// Claims the key, so that the submission can be admitted under the identifier that the key
+    /// stands for.
     pub(super) fn submit_keyed(
         &self,
         now: Time,
@@ -74,7 +75,7 @@
         self.claims.lock().insert(waiter, pending);
     }
 
-    /// Takes notice of what a key stands for.
+    /// Handles the result of a key claim.
     pub(super) fn claimed(
         &self,
         now: Time,
@@ -103,7 +104,8 @@
         self.submit(now, Waiter::Caller(waiter), submission, out);
     }
 
-    /// Nothing was admitted here; whether the key was used before is not known.
+    /// Rejects a submission whose key claim failed. Nothing was admitted here. The submission may
+    /// have run before, unless the caller says that the key is new.
     fn reject_unclaimed(
         &self,
         now: Time,
@@ -119,8 +121,8 @@
         self.reject(now, Waiter::Caller(waiter), submission.id, submission.firm, failure, out);
     }
 
-    /// Gives a caller its answer, unless its key stands for a submission that was refused for
-    /// good: then the key is claimed for a fresh one.
+    /// Sends a caller its answer. If its key stands for a submission that was rejected for good,
+    /// the key is claimed for a fresh identifier instead.
     pub(super) fn answer_caller(
         &self,
         now: Time,
@@ -144,7 +146,7 @@
         self.claim(waiter, pending, Some(id), out);
     }
 
-    /// An identifier's unique part that follows from `id` and this process; no two refused
+    /// Returns a unique part for an identifier, derived from `id` and this process. No two rejected
     /// submissions share one.
     fn unique(&self, id: SubmissionId) -> uuid::Uuid {
         let (high, low) = id.unique.as_u64_pair();
--- a/components/dispatch/src/entry/members.rs
+++ b/components/dispatch/src/entry/members.rs
@@ -1,4 +1,4 @@
-//! Other entries: who they are, and what changes with them.
+//! Tracks the other entries and applies changes of members to roles and pools.
 
 use super::{Entry, roles::Roles};
 use crate::{Action, Decision, Message, message::Heartbeat, pool::Members};
@@ -8,37 +8,37 @@
     unit::Time,
 };
 
-/// Most peers whose epochs are remembered.
+/// Maximum number of peers whose epochs are remembered.
 const MAX_PEER_EPOCHS: usize = 1_024;
 
-/// Most homes that a heartbeat names.
+/// Maximum number of homes in a heartbeat's list of adopted tables.
 const MAX_HEARTBEAT_TABLES: usize = 64;
 
 impl Entry {
-    /// The token that callers make identifiers with now: that of an entry that places tasks.
+    /// Returns the token with which callers should make identifiers now: that of a lead entry.
     pub fn token(&self) -> Token {
         let roles = self.roles.read();
         if roles.leads.contains(&self.home) || self.is_draining() {
             return self.own_token();
         }
-        let place = EndpointId(self.home.entry.0);
-        let lead = View::keeper_among(&roles.leads, place);
+        let hash_key = EndpointId(self.home.entry.0);
+        let lead = View::keeper_among(&roles.leads, hash_key);
         let token = lead.and_then(|home| Some(Token { home, epoch: *roles.epochs.get(&home)? }));
         token.unwrap_or_else(|| self.own_token())
     }
 
-    /// The entry of the cluster that runs what has lost its home; the same for all that agree on
-    /// who is live.
-    pub(super) fn substitute_for(&self, place: EndpointId) -> Option<Home> {
-        View::keeper_among(&self.roles.read().near, place)
+    /// Returns the entry of the cluster that runs a request whose home is gone. It is the same for
+    /// all entries that agree on who is live.
+    pub(super) fn substitute_for(&self, hash_key: EndpointId) -> Option<Home> {
+        View::keeper_among(&self.roles.read().near, hash_key)
     }
 
-    /// Entries that place tasks in this entry's cluster, as it sees them.
+    /// Returns the lead entries of this entry's cluster, as it sees them.
     pub fn leads(&self) -> Vec<Home> {
         self.roles.read().leads.clone()
     }
 
-    /// Any message is a sign of life.
+    /// Records contact with a peer; any message proves that it is live.
     pub(super) fn record_contact(
         &self,
         now: Time,
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Takes notice of a sign of life and what it says.
+    /// Handles the content of a heartbeat.
     pub(super) fn receive_heartbeat(&self, from: Home, beat: &Heartbeat, out: &mut Vec<Action>) {
         self.roles.write().epochs.insert(from, beat.epoch);
-        // A stopping entry's tables are on their way to another.
+        // The tables of a draining entry are being handed over to another one.
         if !beat.draining {
             let mut handovers = self.handovers.lock();
             beat.adopted.iter().for_each(|home| handovers.record_successor(*home, from));
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A connection came up: what the peer may not have got is sent again.
+    /// Handles a new connection: sends everything again that the peer may not have received.
     pub(super) fn peer_up(&self, now: Time, peer: Home, out: &mut Vec<Action>) {
         self.members.lock().connected(now, peer);
         self.update_members(now, out);
@@ -82,7 +82,7 @@
         self.restart_handover(now, peer, out);
     }
 
-    /// A connection is lost.
+    /// Handles the loss of a connection.
     pub(super) fn peer_down(&self, now: Time, peer: Home, out: &mut Vec<Action>) {
         let changed = self.members.lock().disconnected(now, peer);
         for pool in self.all_pools() {
@@ -95,13 +95,13 @@
         self.schedule_member_tick();
     }
 
-    /// Takes notice of the entries registered with the platform.
+    /// Handles the platform's list of registered entries.
     pub(super) fn registry(&self, now: Time, entries: &[Home], out: &mut Vec<Action>) {
         let changed = self.members.lock().registered(now, entries);
         self.apply_changes(now, changed, out);
     }
 
-    /// Takes notice of the platform's list of VMs.
+    /// Handles the platform's list of VMs.
     pub(super) fn machines(
         &self,
         now: Time,
@@ -124,7 +124,7 @@
         self.schedule_member_tick();
     }
 
-    /// Moves on what waits for homes that are gone.
+    /// Reroutes the requests that wait for homes that are gone or have a successor.
     fn reroute_gone(&self, now: Time, out: &mut Vec<Action>) {
         for home in self.routed_homes() {
             let status = self.members.lock().status(now, home);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Has every pool take over who the members are.
+    /// Recomputes the roles and applies them to every pool.
     pub(super) fn update_members(&self, now: Time, out: &mut Vec<Action>) {
         let _one_at_a_time = self.reconfiguring.lock();
         let index = self.index();
@@ -171,7 +171,7 @@
         *current = Roles { epochs, ..roles };
     }
 
-    /// Sends the heartbeats that are due, and notices changes that nothing told of.
+    /// Sends the heartbeats that are due, and applies changes of roles that no event reported.
     pub(super) fn send_heartbeats(&self, now: Time, out: &mut Vec<Action>) {
         let mut due = self.members.lock().due_heartbeats(now);
         if due.is_empty() {
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Peers besides the membership's own: the entries that place tasks and all others near them
-    /// hear from each other.
+    /// Returns the peers that get heartbeats because of their role, besides those that membership
+    /// chooses: lead entries exchange heartbeats with all other entries of the cluster.
     fn role_peers(&self) -> Vec<Home> {
         let roles = self.roles.read();
         let watched = match roles.leads.contains(&self.home) {
--- a/components/dispatch/src/entry/mod.rs
+++ b/components/dispatch/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The facade over an entry's whole logic.
+//! The whole decision logic of one entry behind one type, [`Entry`].
 
 mod answer;
 mod drain;
@@ -29,78 +29,78 @@
     atomic::{AtomicBool, AtomicU32, AtomicU64, AtomicUsize, Ordering},
 };
 
-/// Shards of the table of submissions.
+/// Number of shards of the submission table.
 const SHARD_COUNT: usize = 16;
 
 /// Length of an epoch of submission identifiers.
 pub const EPOCH: Span = Span::from_secs(15);
 
-/// Epochs, with the current one, whose identifiers are accepted and remembered.
+/// Number of epochs, including the current one, whose identifiers are accepted and remembered.
 pub const EPOCHS: u32 = 8;
 
-/// Capacity, in slots, for each entry that places tasks, unless told otherwise.
+/// Default capacity, in slots, for each lead entry.
 pub const DEFAULT_SLOTS_PER_LEAD: u32 = 2_000;
 
-/// Silence after which this process must have been paused. Shorter than the silence after which
-/// others take it for unreachable.
+/// Minimum time without an event after which this process is assumed to have been paused. Shorter
+/// than the time after which other entries consider it unreachable.
 const PAUSE_THRESHOLD: Span = Span::from_millis(1_400);
 
-/// What an entry is told at its start.
+/// Options of an entry.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// This process.
+    /// Identity of this process.
     pub home: Home,
-    /// The rack this entry's VM stands in.
+    /// Rack of this entry's VM.
     pub rack: RackId,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Settings to start with.
+    /// Initial settings.
     pub site: Arc<Site>,
-    /// Their revision.
+    /// Revision of the initial settings.
     pub revision: Revision,
-    /// Times that membership goes by.
+    /// Timeouts and intervals of membership.
     pub membership: membership::Options,
-    /// Most bytes of answers that are kept for later.
+    /// Maximum total size, in bytes, of the answers that are kept after delivery.
     pub answer_bytes: usize,
-    /// Capacity, in slots, for each entry that places tasks; the same at all entries.
+    /// Capacity, in slots, for each lead entry. Must be the same at all entries.
     pub slots_per_lead: u32,
 }
 
 /// The whole decision logic of one entry.
 ///
-/// Locks are taken one at a time, but for the one that serialises changes of members and settings,
-/// under which pools are locked in turn.
+/// Locks are taken one at a time, except for the one that serialises changes of members and
+/// settings: pools are locked in turn while it is held.
 pub struct Entry {
     home: Home,
     seed: u64,
     slots_per_lead: u32,
     index: RwLock<Arc<Index>>,
-    /// By the identifier's unique part.
+    /// Submission table, sharded by the unique part of the identifier.
     shards: Box<[Mutex<Table>]>,
     pools: RwLock<pools::Pools>,
     members: Mutex<View>,
     roles: RwLock<roles::Roles>,
-    routes: Mutex<forwarded::ForwardedRequests>,
+    forwarded: Mutex<forwarded::ForwardedRequests>,
     claims: Mutex<keyed::Claims>,
     handovers: Mutex<handovers::Handovers>,
     draining: AtomicBool,
-    /// Held while members or settings are carried over to the pools, so that the latest win.
+    /// Held while members or settings are applied to the pools, so that the latest ones win.
     reconfiguring: Mutex<()>,
-    /// Calls of [`Entry::handle`] that go on now.
+    /// Number of calls of [`Entry::handle`] in progress.
     active_calls: AtomicUsize,
-    /// When the latest event was handled.
+    /// Time of the latest event.
     last_event: AtomicU64,
-    /// When this process was last seen to have been paused; zero when never.
+    /// Time of the event that revealed the latest pause of this process; zero if there was none.
     last_pause: AtomicU64,
-    /// Numbers the jobs.
+    /// Number of the next job.
     next_job_number: AtomicU64,
     epoch: AtomicU32,
-    /// When a tick is due; never later than the truth.
+    /// Time of the next tick. It may be earlier than necessary, never later.
     next_tick: AtomicU64,
 }
 
 impl Entry {
-    /// An entry with nothing admitted yet.
+    /// Returns an entry without submissions.
     pub fn new(options: Options) -> Entry {
         let (site, revision) = (options.site, options.revision);
         let index =
@@ -115,7 +115,7 @@
             pools: RwLock::default(),
             members: Mutex::new(View::new(options.home, options.membership)),
             roles: RwLock::default(),
-            routes: Mutex::default(),
+            forwarded: Mutex::default(),
             claims: Mutex::default(),
             handovers: Mutex::default(),
             draining: AtomicBool::new(false),
@@ -131,32 +131,32 @@
         entry
     }
 
-    /// This process.
+    /// Identity of this process.
     pub fn home(&self) -> Home {
         self.home
     }
 
-    /// The token of this process itself.
+    /// Returns the token of this process itself.
     pub fn own_token(&self) -> Token {
         Token { home: self.home, epoch: self.epoch.load(Ordering::Relaxed) }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn site(&self) -> Arc<Site> {
         self.index.read().site.clone()
     }
 
-    /// The revision of the settings in force.
+    /// Returns the revision of the settings in force.
     pub fn revision(&self) -> Revision {
         self.index.read().revision
     }
 
-    /// Whether nothing more is admitted.
+    /// Returns whether the entry is draining and admits nothing more.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Takes notice of `event` and appends what must be done, in order.
+    /// Handles `event` and appends the resulting actions to `out`, in order.
     pub fn handle(&self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.active_calls.fetch_add(1, Ordering::SeqCst);
         self.detect_pause(now);
@@ -164,7 +164,8 @@
         self.active_calls.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// Ticks come at least every second, so a longer silence means that the process was paused.
+    /// Detects a pause of the process. Ticks are sent at least every second, so a longer gap
+    /// between events means that the process did not run.
     fn detect_pause(&self, now: Time) {
         let before = Time(self.last_event.fetch_max(now.0, Ordering::Relaxed));
         if before > Time(0) && now.since(before) > PAUSE_THRESHOLD {
@@ -172,11 +173,11 @@
         }
     }
 
-    /// Whether a pause lies within the time for which submissions are remembered.
+    /// Returns whether the process was paused within the time for which submissions are remembered.
     fn was_paused(&self) -> bool {
-        let woke = Time(self.last_pause.load(Ordering::Relaxed));
+        let paused_at = Time(self.last_pause.load(Ordering::Relaxed));
         let now = Time(self.last_event.load(Ordering::Relaxed));
-        woke > Time(0) && now.since(woke) <= Span(EPOCH.0 * u64::from(EPOCHS))
+        paused_at > Time(0) && now.since(paused_at) <= Span(EPOCH.0 * u64::from(EPOCHS))
     }
 
     fn dispatch(&self, now: Time, event: Event, out: &mut Vec<Action>) {
@@ -237,7 +238,7 @@
             Message::Handover(part) => self.receive_handover(now, from, part, out),
             Message::HandoverStored { home, part } => self.part_stored(now, from, home, part, out),
             Message::Moved { home, successor } => self.table_moved(now, home, successor, out),
-            // Settings travel as files, which the process around this logic reads and checks.
+            // Settings are sent as files, which the process around this logic reads and checks.
             Message::SettingsWanted { .. } | Message::Settings { .. } => {}
         }
     }
@@ -251,12 +252,12 @@
         &self.shards[((high ^ low) as usize) % SHARD_COUNT]
     }
 
-    /// Has [`Event::Tick`] sent at `time` or before.
+    /// Schedules an [`Event::Tick`] at `time` or earlier.
     fn schedule_tick(&self, time: Time) {
         self.next_tick.fetch_min(time.0, Ordering::Relaxed);
     }
 
-    /// When [`Event::Tick`] is due next; [`Time::NEVER`] when nothing is waited for.
+    /// Returns when [`Event::Tick`] is due next; [`Time::NEVER`] when nothing is scheduled.
     pub fn next_timer(&self) -> Time {
         Time(self.next_tick.load(Ordering::Relaxed))
     }
--- a/components/dispatch/src/entry/pools.rs
+++ b/components/dispatch/src/entry/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of an entry, and what concerns them alone.
+//! Keeps the pools of an entry and passes events on to them.
 
 use super::Entry;
 use crate::{
@@ -16,7 +16,7 @@
 };
 use std::sync::Arc;
 
-/// All pools. A pool is never removed, so that its attempts find it.
+/// All pools. A pool is never removed, so that reports of its attempts still find it.
 #[derive(Default)]
 pub(super) struct Pools {
     list: Vec<Arc<Mutex<Pool>>>,
@@ -24,7 +24,7 @@
 }
 
 impl Pools {
-    /// Every pool.
+    /// Returns all pools.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Arc<Mutex<Pool>>> {
         self.list.iter()
     }
@@ -39,18 +39,18 @@
 }
 
 impl Entry {
-    /// The pool that runs a service.
+    /// Returns the pool that runs a service.
     pub(super) fn pool_of(&self, service: ServiceId) -> Option<Arc<Mutex<Pool>>> {
         let key = self.index.read().pool(service)?;
         self.pools.read().by_key.get(&key).cloned()
     }
 
-    /// Every pool.
+    /// Returns all pools.
     pub(super) fn all_pools(&self) -> Vec<Arc<Mutex<Pool>>> {
         self.pools.read().iter().cloned().collect()
     }
 
-    /// Takes over accepted settings, unless they are older than those in force.
+    /// Applies accepted settings, unless they are older than those in force.
     pub(super) fn configure(
         &self,
         now: Time,
@@ -83,30 +83,30 @@
         self.update_members(now, out);
     }
 
-    /// Takes notice of the end of an attempt.
+    /// Handles the report of an ended attempt.
     pub(super) fn report(&self, now: Time, report: Report, out: &mut Vec<Action>) {
         let number = usize::from(pool_number(report.attempt));
         let Some(pool) = self.pools.read().list.get(number).cloned() else {
             return;
         };
-        let ended = {
+        let effect = {
             let mut pool = pool.lock();
-            let ended = pool.report(now, report, out);
+            let effect = pool.report(now, report, out);
             self.schedule_tick(pool.next_timer());
-            ended
+            effect
         };
-        match ended {
+        match effect {
             Effect::Output(job, index, output) => {
                 let id = job.submission.id;
                 let finish = self.shard(id).lock().store(id, index, output);
                 self.deliver(now, id, finish, out);
             }
             Effect::Failed(job, failure) => self.fail(now, &job, failure, out),
-            Effect::Nothing => {}
+            Effect::None => {}
         }
     }
 
-    /// Takes notice of what a running attempt occupies.
+    /// Records the resources that a worker measured for a running attempt.
     pub(super) fn measure(&self, attempt: AttemptId, measured: Resources) {
         let number = usize::from(pool_number(attempt));
         let pool = self.pools.read().list.get(number).cloned();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes notice of a message about shared capacity.
+    /// Handles a message about capacity that entries lend each other.
     pub(super) fn handle_capacity_message(
         &self,
         now: Time,
--- a/components/dispatch/src/entry/roles.rs
+++ b/components/dispatch/src/entry/roles.rs
@@ -1,4 +1,4 @@
-//! Who does what in a cluster of data centres.
+//! Assigns roles to the entries of a cluster of data centres.
 
 use crate::index::Index;
 use membership::{Status, View};
@@ -9,22 +9,23 @@
     hash::{Hash, Hasher},
 };
 
-/// Who does what in the cluster, as this entry sees it.
+/// Roles of the entries of the cluster, as this entry sees them.
 ///
-/// Few entries place tasks, as many as the load needs: each of these has much capacity, so it
-/// seldom has to ask others for some. All entries take requests and send them on.
+/// Only a few entries, the lead entries, place tasks: as many as the capacity requires. Each of
+/// them has much capacity, so it rarely has to borrow. All entries accept requests and forward
+/// them.
 #[derive(Debug, Default)]
 pub(super) struct Roles {
     /// Live entries of the cluster, sorted.
     pub(super) near: Vec<Home>,
-    /// Those that keep endpoints and place tasks.
+    /// Lead entries of the cluster, which keep endpoints and place tasks; sorted.
     pub(super) leads: Vec<Home>,
-    /// Live entries of other clusters with a link.
+    /// Live entries of data centres outside the cluster that have a link to this one.
     pub(super) distant: Vec<Home>,
-    /// Data centres of the cluster whose entries are known and all silent: they are cut off, and
-    /// those in them keep their endpoints.
+    /// Data centres of the cluster whose known entries are all unreachable. They are partitioned
+    /// from this entry, and the entries in them keep their endpoints.
     pub(super) cut_off: Vec<DataCentreId>,
-    /// Epochs of peers, as they last told.
+    /// Epoch of each peer, as last received.
     pub(super) epochs: FxHashMap<Home, u32>,
 }
 
@@ -55,8 +56,8 @@
     }
 }
 
-/// Entries of the cluster that are stopping. They finish what they have, when nobody else is left
-/// to keep the endpoints.
+/// Returns the draining entries of the cluster. When no other entry is left to keep the endpoints,
+/// they keep them until their work is done.
 fn stopping(members: &View, index: &Index, own: Home) -> Vec<Home> {
     let stopping = members.peers().filter(|(_, status)| *status == Status::Draining);
     let near = stopping.map(|(home, _)| home);
@@ -64,7 +65,7 @@
 }
 
 impl Roles {
-    /// Whether the same entries have the same roles.
+    /// Returns whether the same entries have the same roles.
     pub(super) fn is_same(&self, other: &Roles) -> bool {
         self.near == other.near
             && self.leads == other.leads
@@ -74,7 +75,7 @@
 }
 
 /// Orders entries by a hash, so that a change of members moves as few roles as possible. A
-/// restarted entry ranks anew, and entries with a new process are not favoured.
+/// restarted entry gets a new rank, and new processes are not preferred.
 fn rank(home: &Home) -> u64 {
     let mut hasher = FxHasher::default();
     home.hash(&mut hasher);
--- a/components/dispatch/src/entry/route.rs
+++ b/components/dispatch/src/entry/route.rs
@@ -1,9 +1,9 @@
-//! Requests for submissions whose home is another entry.
+//! Routes requests for submissions whose home is another entry.
 
 use super::{
     Entry,
     drain::TableLocation,
-    forwarded::{ANSWER_GRACE, ForwardedRequest, Request},
+    forwarded::{ANSWER_GRACE, Call, ForwardedRequest},
     submit::{may_have_run, not_run},
 };
 use crate::{Action, Decision, action::Status, message::RequestId};
@@ -15,39 +15,40 @@
 };
 use std::sync::Arc;
 
-/// When a caller may come back while a home can't be reached.
+/// Retry delay sent to a caller while a home can't be reached.
 const UNREACHABLE_RETRY_AFTER: Span = Span::from_secs(1);
 
 impl Entry {
-    /// Sends a request on to where its submission is known, or answers that it can't.
-    /// The request is given up at `deadline`.
+    /// Forwards a request to the entry that holds its submission, or answers it with a failure. The
+    /// request is given up at `deadline`.
     pub(super) fn route(
         &self,
         now: Time,
         waiter: Waiter,
-        ask: Request,
+        call: Call,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
+        let id = call.id();
         match (self.locate_table(now, id.home()), waiter) {
             (TableLocation::Local, _) => {
-                self.answer_from_held_table(now, waiter, &ask, deadline, out)
+                self.answer_from_held_table(now, waiter, &call, deadline, out)
             }
             (TableLocation::Remote(to), Waiter::Caller(caller)) => {
-                self.forward(now, caller, ask, to, deadline, out);
+                self.forward(now, caller, call, to, deadline, out);
             }
-            // A peer that sends it on to an entry which is not its home takes the home for gone.
-            // An entry that just started can't know yet, and refused 24 of 24 of these.
-            (TableLocation::Unreachable, Waiter::Peer { .. }) if ask.may_run_elsewhere() => {
-                self.route_without_home(now, waiter, ask, deadline, out);
+            // A peer that forwards a request to an entry which is not its home considers the home
+            // gone. An entry that has just started can't know that yet; without this case it
+            // rejected 24 of 24 such requests.
+            (TableLocation::Unreachable, Waiter::Peer { .. }) if call.may_run_elsewhere() => {
+                self.route_without_home(now, waiter, call, deadline, out);
             }
-            // A request is sent on once only.
+            // A request is forwarded only once.
             (TableLocation::Remote(_) | TableLocation::Unreachable, _) => {
                 let failure = may_have_run(Reason::HomeUnreachable, Some(UNREACHABLE_RETRY_AFTER));
-                self.decline(now, waiter, &ask, failure, out);
+                self.decline(now, waiter, &call, failure, out);
             }
-            (TableLocation::Gone, _) => self.route_without_home(now, waiter, ask, deadline, out),
+            (TableLocation::Gone, _) => self.route_without_home(now, waiter, call, deadline, out),
         }
     }
 
@@ -56,31 +57,33 @@
         &self,
         now: Time,
         waiter: Waiter,
-        ask: &Request,
+        call: &Call,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
-        if let Request::Submit(submission) = ask {
+        let id = call.id();
+        if let Call::Submit(submission) = call {
             let known = self.shard(id).lock().find(submission, waiter, deadline);
             match known {
                 Some(known) => self.answer_known(now, waiter, submission, known, out),
-                // Another may have run it before this entry was known to keep the table.
-                None if ask.may_run_elsewhere() => self.admit_foreign(now, waiter, submission, out),
-                None => self.decline(now, waiter, ask, self.never_admitted(id), out),
+                // Another entry may have run it before this entry was known to hold the table.
+                None if call.may_run_elsewhere() => {
+                    self.admit_foreign(now, waiter, submission, out)
+                }
+                None => self.decline(now, waiter, call, self.never_admitted(id), out),
             }
             return;
         }
-        let found = self.shard(id).lock().lookup(id, ask.firm(), None);
+        let found = self.shard(id).lock().lookup(id, call.firm(), None);
         match found {
             Lookup::Finished(answer) => self.answer(now, waiter, id, answer, out),
             Lookup::Unknown | Lookup::Open(_) => {
-                self.decline(now, waiter, ask, self.never_admitted(id), out);
+                self.decline(now, waiter, call, self.never_admitted(id), out);
             }
         }
     }
 
-    /// What is known of an identifier that is not in the whole table of its home.
+    /// Returns the failure for an identifier that is absent from its home's complete table.
     fn never_admitted(&self, id: SubmissionId) -> Failure {
         match self.handovers.lock().is_forgotten(id.token) {
             true => ledger::table::expired(),
@@ -93,24 +96,24 @@
         &self,
         now: Time,
         waiter: Waiter,
-        ask: Request,
+        call: Call,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
+        let id = call.id();
         let gone = may_have_run(Reason::HomeGone, None);
-        let Request::Submit(submission) = &ask else {
-            return self.decline(now, waiter, &ask, gone, out);
+        let Call::Submit(submission) = &call else {
+            return self.decline(now, waiter, &call, gone, out);
         };
-        if !ask.may_run_elsewhere() {
-            return self.decline(now, waiter, &ask, gone, out);
+        if !call.may_run_elsewhere() {
+            return self.decline(now, waiter, &call, gone, out);
         }
         let (high, low) = id.unique.as_u64_pair();
-        let place = EndpointId(high ^ low);
-        let runner = self.substitute_for(place);
+        let hash_key = EndpointId(high ^ low);
+        let runner = self.substitute_for(hash_key);
         match (runner, waiter) {
             (Some(to), Waiter::Caller(caller)) if to != self.home => {
-                self.forward(now, caller, ask, to, deadline, out);
+                self.forward(now, caller, call, to, deadline, out);
             }
             _ => self.admit_foreign(now, waiter, submission, out),
         }
@@ -132,17 +135,17 @@
         &self,
         now: Time,
         waiter: WaiterId,
-        ask: Request,
+        call: Call,
         to: Home,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
-        let route = ForwardedRequest { waiter, ask, to, deadline };
-        let request = self.routes.lock().add(route.clone());
+        let id = call.id();
+        let pending = ForwardedRequest { waiter, call, to, deadline };
+        let request = self.forwarded.lock().add(pending.clone());
         self.schedule_tick(deadline);
         out.push(Action::Log(Decision::Forward { id, to }));
-        let message = route.ask.message(request, deadline.since(now) - ANSWER_GRACE);
+        let message = pending.call.message(request, deadline.since(now) - ANSWER_GRACE);
         out.push(Action::Send { to, message });
     }
 
@@ -150,13 +153,13 @@
         &self,
         now: Time,
         waiter: Waiter,
-        ask: &Request,
+        call: &Call,
         failure: Failure,
         out: &mut Vec<Action>,
     ) {
-        match ask {
-            Request::Query { .. } => self.send_status(waiter, None, out),
-            _ => self.reject(now, waiter, ask.id(), ask.firm(), failure, out),
+        match call {
+            Call::Query { .. } => self.send_status(waiter, None, out),
+            _ => self.reject(now, waiter, call.id(), call.firm(), failure, out),
         }
     }
 
@@ -168,9 +171,9 @@
         answer: Arc<Answer>,
         out: &mut Vec<Action>,
     ) {
-        let route = self.routes.lock().remove(request);
-        if let Some(route) = route {
-            self.answer(now, Waiter::Caller(route.waiter), route.ask.id(), answer, out);
+        let pending = self.forwarded.lock().remove(request);
+        if let Some(pending) = pending {
+            self.answer(now, Waiter::Caller(pending.waiter), pending.call.id(), answer, out);
             self.continue_drain(now, out);
         }
     }
@@ -182,35 +185,35 @@
         status: Option<Status>,
         out: &mut Vec<Action>,
     ) {
-        let route = self.routes.lock().remove(request);
-        if let Some(route) = route {
-            self.send_status(Waiter::Caller(route.waiter), status, out);
+        let pending = self.forwarded.lock().remove(request);
+        if let Some(pending) = pending {
+            self.send_status(Waiter::Caller(pending.waiter), status, out);
         }
     }
 
-    /// Sends everything again that a home may not have got, or sends it elsewhere when the home is
-    /// gone.
+    /// Routes all open requests of a home again: to the same home, which may not have received
+    /// them, or elsewhere if the home is gone.
     pub(super) fn reroute(&self, now: Time, home: Home, out: &mut Vec<Action>) {
-        let routes = self.routes.lock().take_home(home);
-        for mut route in routes {
-            if let Request::Submit(submission) = &mut route.ask {
-                Arc::make_mut(submission).deadline = route.deadline.since(now) - ANSWER_GRACE;
+        let forwarded = self.forwarded.lock().take_home(home);
+        for mut pending in forwarded {
+            if let Call::Submit(submission) = &mut pending.call {
+                Arc::make_mut(submission).deadline = pending.deadline.since(now) - ANSWER_GRACE;
             }
-            self.route(now, Waiter::Caller(route.waiter), route.ask, route.deadline, out);
+            self.route(now, Waiter::Caller(pending.waiter), pending.call, pending.deadline, out);
         }
     }
 
-    /// Homes that requests wait for.
+    /// Returns the homes that open requests were forwarded to.
     pub(super) fn routed_homes(&self) -> Vec<Home> {
-        self.routes.lock().by_home.keys().copied().collect()
+        self.forwarded.lock().by_home.keys().copied().collect()
     }
 
-    /// Gives up what no home answered in time.
+    /// Gives up forwarded requests that were not answered by their deadline.
     pub(super) fn expire_routes(&self, now: Time, out: &mut Vec<Action>) {
-        let due = self.routes.lock().take_due(now);
-        for route in due {
+        let due = self.forwarded.lock().take_due(now);
+        for pending in due {
             let failure = may_have_run(Reason::Deadline, None);
-            self.decline(now, Waiter::Caller(route.waiter), &route.ask, failure, out);
+            self.decline(now, Waiter::Caller(pending.waiter), &pending.call, failure, out);
         }
     }
 }
--- a/components/dispatch/src/entry/submit.rs
+++ b/components/dispatch/src/entry/submit.rs
@@ -1,8 +1,8 @@
-//! Submissions, and what callers ask about them, at their home.
+//! Handles submissions at their home, and the callers' requests about them.
 
 use super::{
     EPOCHS, Entry,
-    forwarded::{ANSWER_GRACE, Request, STATUS_TIME_LIMIT},
+    forwarded::{ANSWER_GRACE, Call, STATUS_TIME_LIMIT},
 };
 use crate::{Action, Decision, action::Status};
 use ledger::{Admission, Job, Lookup, Waiter};
@@ -13,11 +13,12 @@
 };
 use std::sync::{Arc, atomic::Ordering};
 
-/// When a caller may come back after this entry refused since it is stopping: at once, elsewhere.
+/// Retry delay sent to a caller that a draining entry rejects. It is short, since another entry can
+/// admit the submission at once.
 const DRAINING_RETRY_AFTER: Span = Span::from_millis(50);
 
 impl Entry {
-    /// Admits a submission here, or sends it on to its home.
+    /// Admits a submission here, or forwards it to its home.
     pub(super) fn submit(
         &self,
         now: Time,
@@ -29,11 +30,11 @@
             self.admit(now, waiter, submission, out);
         } else {
             let deadline = now + submission.deadline + ANSWER_GRACE;
-            self.route(now, waiter, Request::Submit(submission), deadline, out);
+            self.route(now, waiter, Call::Submit(submission), deadline, out);
         }
     }
 
-    /// Enters a submission in the table, unless it is there already, and queues its tasks.
+    /// Adds a submission to the table, unless it is already there, and queues its tasks.
     pub(super) fn admit(
         &self,
         now: Time,
@@ -53,7 +54,7 @@
         self.answer_known(now, waiter, &submission, admission, out);
     }
 
-    /// Answers a submission that the table knows or bars.
+    /// Answers a submission that is already in the table or may not be added to it.
     pub(super) fn answer_known(
         &self,
         now: Time,
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Why a submission that is not in the table may not enter it. Ask under the shard's lock.
+    /// Returns why a submission that is not in the table may not be added. Must be called under the
+    /// shard's lock.
     fn admission_rejection(&self, id: SubmissionId) -> Option<Failure> {
         if id.home() == self.home && self.is_expired(id) {
             return Some(ledger::table::expired());
@@ -91,9 +93,10 @@
         None
     }
 
-    /// A failure as it may be told. Of a submission with another home this entry knows only its own
-    /// part. What may be run again may have been run by others: while this process was paused and
-    /// taken for gone, or by the successor of a stopping one.
+    /// Returns the failure to report: `NotRun` becomes `MayHaveRun` where this entry can't know it.
+    /// Of a submission with another home it knows only its own part. A repeatable one may have been
+    /// run by others: while this process was paused and considered gone, or by the successor of a
+    /// draining entry.
     fn weaken_failure(&self, submission: &Submission, failure: Failure) -> Failure {
         let foreign = submission.id.home() != self.home;
         let away = self.was_paused() || failure.reason == Reason::Draining;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Fixes a failure as the answer of an open job.
+    /// Stores a failure as the final answer of an open job.
     pub(super) fn fail(&self, now: Time, job: &Job, failure: Failure, out: &mut Vec<Action>) {
         job.close();
         let id = job.submission.id;
@@ -143,7 +146,7 @@
         self.deliver(now, id, finish, out);
     }
 
-    /// Ends an open job: no task of it starts any more.
+    /// Ends an open job with a failure; none of its tasks starts any more.
     pub(super) fn end_job(&self, now: Time, job: &Job, reason: Reason, out: &mut Vec<Action>) {
         let started = match self.pool_of(job.submission.service) {
             Some(pool) => pool.lock().close(job, out),
@@ -153,7 +156,7 @@
         self.fail(now, job, Failure { outcome, reason, retry_after: None }, out);
     }
 
-    /// Answers when a submission has its answer.
+    /// Answers a caller once the submission has its final answer.
     pub(super) fn fetch(
         &self,
         now: Time,
@@ -172,13 +175,13 @@
             }
             Lookup::Unknown => {
                 let deadline = now + deadline + ANSWER_GRACE;
-                self.route(now, waiter, Request::Fetch { id, firm }, deadline, out);
+                self.route(now, waiter, Call::Fetch { id, firm }, deadline, out);
             }
         }
     }
 
-    /// What is told of an identifier of this home that the table does not hold: its submission may
-    /// still be on its way.
+    /// Returns the failure for an identifier of this home that is not in the table. Its submission
+    /// may still be in transit.
     fn unknown(&self, id: SubmissionId) -> Failure {
         match self.is_expired(id) {
             true => ledger::table::expired(),
@@ -190,7 +193,7 @@
         id.token.epoch.saturating_add(EPOCHS) <= self.epoch.load(Ordering::Relaxed)
     }
 
-    /// Ends a submission, unless it has its answer.
+    /// Cancels a submission, unless it has its final answer.
     pub(super) fn cancel(
         &self,
         now: Time,
@@ -207,12 +210,12 @@
                 self.cancel_unknown(now, waiter, id, firm, out);
             }
             Lookup::Unknown => {
-                self.route(now, waiter, Request::Cancel { id, firm }, now + STATUS_TIME_LIMIT, out);
+                self.route(now, waiter, Call::Cancel { id, firm }, now + STATUS_TIME_LIMIT, out);
             }
         }
     }
 
-    /// Keeps a submission from running that was cancelled before it arrived.
+    /// Prevents a submission from running whose cancellation arrived first.
     fn cancel_unknown(
         &self,
         now: Time,
@@ -227,7 +230,7 @@
         let failure = not_run(Reason::Cancelled, None);
         let arrived = {
             let mut shard = self.shard(id).lock();
-            // Another firm's submission is to look like none.
+            // Another firm's submission must look as if it did not exist.
             !shard.forbid(id, firm, failure)
                 && !matches!(shard.lookup(id, firm, None), Lookup::Unknown)
         };
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Tells how far a submission has come.
+    /// Answers a request for the status of a submission.
     pub(super) fn query(
         &self,
         now: Time,
@@ -250,7 +253,7 @@
         if status.is_some() || id.home() == self.home {
             return self.send_status(waiter, status, out);
         }
-        self.route(now, waiter, Request::Query { id, firm }, now + STATUS_TIME_LIMIT, out);
+        self.route(now, waiter, Call::Query { id, firm }, now + STATUS_TIME_LIMIT, out);
     }
 
     fn status(&self, id: SubmissionId, firm: FirmId) -> Option<Status> {
@@ -271,20 +274,20 @@
         }
     }
 
-    /// Forgets that a caller waits.
+    /// Removes a caller that no longer waits.
     pub(super) fn abandon(&self, waiter: WaiterId, id: SubmissionId) {
         self.shard(id).lock().abandon(id, Waiter::Caller(waiter));
-        self.routes.lock().abandon(waiter);
+        self.forwarded.lock().abandon(waiter);
         self.claims.lock().remove(&waiter);
     }
 }
 
-/// A failure of something of which nothing ran or will.
+/// Returns the failure of a submission of which nothing has run or will run.
 pub(super) fn not_run(reason: Reason, retry_after: Option<Span>) -> Failure {
     Failure { outcome: Outcome::NotRun, reason, retry_after }
 }
 
-/// A failure of something that may have run.
+/// Returns the failure of a submission that may have run.
 pub(super) fn may_have_run(reason: Reason, retry_after: Option<Span>) -> Failure {
     Failure { outcome: Outcome::MayHaveRun, reason, retry_after }
 }
--- a/components/dispatch/src/entry/timer.rs
+++ b/components/dispatch/src/entry/timer.rs
@@ -1,4 +1,4 @@
-//! What an entry does when time has passed.
+//! Handles the timers of an entry.
 
 use super::{EPOCH, EPOCHS, Entry, submit::may_have_run};
 use crate::Action;
@@ -8,11 +8,11 @@
 };
 use std::sync::{Arc, atomic::Ordering};
 
-/// A tick is due at least this often.
+/// Maximum interval between ticks.
 const MAX_TICK_INTERVAL: Span = Span::from_secs(1);
 
 impl Entry {
-    /// Does everything that is due, and sets the next time.
+    /// Handles all timers that are due, and schedules the next tick.
     pub(super) fn tick(&self, now: Time, out: &mut Vec<Action>) {
         self.next_tick.store((now + MAX_TICK_INTERVAL).0, Ordering::Relaxed);
         self.advance_epoch(now);
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Counts epochs by this process's clock and forgets those that are no longer accepted.
+    /// Advances the epoch by this process's clock and drops submissions of epochs that are no
+    /// longer accepted.
     fn advance_epoch(&self, now: Time) {
         let epoch = (now.0 / EPOCH.0) as u32;
         let before = self.epoch.fetch_max(epoch, Ordering::Relaxed);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The first epoch that is still accepted.
+    /// Returns the first epoch that is still accepted.
     pub(super) fn first_epoch(&self) -> u32 {
         (self.epoch.load(Ordering::Relaxed) + 1).saturating_sub(EPOCHS)
     }
@@ -70,7 +71,7 @@
         for shard in &self.shards {
             self.schedule_tick(shard.lock().next_deadline());
         }
-        self.schedule_tick(self.routes.lock().next_deadline());
+        self.schedule_tick(self.forwarded.lock().next_deadline());
         self.schedule_member_tick();
     }
 }
--- a/components/dispatch/src/entry/view.rs
+++ b/components/dispatch/src/entry/view.rs
@@ -1,53 +1,53 @@
-//! What operators see of an entry.
+//! The state of an entry as shown to operators.
 
 use super::Entry;
 use crate::pool::EndpointView;
 use serde::Serialize;
 use site::id::{Home, ServiceId};
 
-/// The state of an entry at a glance.
+/// State of an entry.
 #[derive(Clone, Debug, Serialize)]
 pub struct Overview {
-    /// This process.
+    /// Identity of this process.
     pub home: Home,
-    /// Entries that place tasks near this one.
+    /// Lead entries of the cluster.
     pub leads: Vec<Home>,
-    /// Whether nothing more is admitted.
+    /// Whether the entry is draining and admits nothing more.
     pub draining: bool,
-    /// Submissions without an answer.
+    /// Number of submissions without a final answer.
     pub open: usize,
-    /// Requests that wait for other entries.
+    /// Number of forwarded requests that wait for other entries.
     pub routed: usize,
-    /// The pools.
+    /// State of each pool.
     pub pools: Vec<PoolView>,
-    /// Other entries.
+    /// Known peers.
     pub peers: Vec<PeerView>,
 }
 
-/// The load of one pool.
+/// State of one pool.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoolView {
-    /// The service, or zero for all workers.
+    /// The service, or zero for the pool of all workers.
     pub service: ServiceId,
-    /// Tasks that wait.
+    /// Number of queued tasks.
     pub queued: usize,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: usize,
-    /// Endpoints in use.
+    /// Endpoints that this entry keeps or borrows.
     pub endpoints: Vec<EndpointView>,
 }
 
-/// Another entry.
+/// A peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerView {
-    /// The entry.
+    /// Identity of the peer.
     pub home: Home,
-    /// What is believed of it.
+    /// Membership status in lower case, such as `live`.
     pub status: String,
 }
 
 impl Entry {
-    /// The state at a glance. Takes each lock for a moment.
+    /// Returns the entry's state. Holds each lock only briefly.
     pub fn overview(&self) -> Overview {
         let pools = self.all_pools();
         let peers = self.members.lock();
@@ -61,13 +61,13 @@
             leads: self.leads(),
             draining: self.is_draining(),
             open: self.open_submissions(),
-            routed: self.routes.lock().len(),
+            routed: self.forwarded.lock().len(),
             pools: pools.iter().map(|pool| pool.lock().overview()).collect(),
             peers,
         }
     }
 
-    /// Submissions without an answer.
+    /// Returns the number of submissions without a final answer.
     pub fn open_submissions(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().open()).sum()
     }
--- a/components/dispatch/src/event.rs
+++ b/components/dispatch/src/event.rs
@@ -1,4 +1,4 @@
-//! What an entry is told.
+//! Events that the decision logic handles.
 
 use crate::Message;
 use compact_str::CompactString;
@@ -17,169 +17,176 @@
     /// A caller submits under an identifier made with a home token. Answered by one
     /// [`crate::Action::Answer`].
     Submit {
-        /// Who waits for the answer.
+        /// Caller that waits for the answer.
         waiter: WaiterId,
         /// The submission; its home may be another entry.
         submission: Arc<Submission>,
     },
-    /// A caller submits under a key of its own making. Answered by one [`crate::Action::Answer`].
+    /// A caller submits under an idempotency key of its own. Answered by one
+    /// [`crate::Action::Answer`].
     SubmitKeyed {
-        /// Who waits for the answer.
+        /// Caller that waits for the answer.
         waiter: WaiterId,
-        /// The caller's key; keys of different firms are different.
+        /// The caller's key; keys are separate for each firm.
         key: CompactString,
-        /// Whether the caller says that it never used the key before.
+        /// Whether the caller says that it has never used the key before.
         first: bool,
-        /// The submission under a fresh identifier, used if the key is new.
+        /// The submission under a fresh identifier, which is used if the key is new.
         submission: Arc<Submission>,
     },
     /// A caller waits for the answer of a submission. Answered by one [`crate::Action::Answer`].
     Fetch {
-        /// Who waits.
+        /// Caller that waits.
         waiter: WaiterId,
         /// The submission.
         id: SubmissionId,
-        /// Who asks; only the submitting firm gets the answer.
+        /// Firm of the caller; only the submitting firm gets the answer.
         firm: FirmId,
-        /// Time left until the caller stops waiting; bounds how long another entry is waited for.
+        /// Time left until the caller stops waiting; limits how long the answer of another entry is
+        /// awaited.
         deadline: Span,
     },
-    /// A caller asks how far a submission has come. Answered by [`crate::Action::Status`].
+    /// A caller requests the status of a submission. Answered by [`crate::Action::Status`].
     Query {
-        /// Who waits.
+        /// Caller that waits.
         waiter: WaiterId,
         /// The submission.
         id: SubmissionId,
-        /// Who asks.
+        /// Firm of the caller.
         firm: FirmId,
     },
     /// A caller cancels a submission. Answered by one [`crate::Action::Answer`]: the final answer,
-    /// which is the real one when the cancellation came too late.
+    /// which is the regular one if the cancellation came too late.
     Cancel {
-        /// Who waits for the answer.
+        /// Caller that waits for the answer.
         waiter: WaiterId,
         /// The submission.
         id: SubmissionId,
-        /// Who asks; only the submitting firm may cancel.
+        /// Firm of the caller; only the submitting firm may cancel.
         firm: FirmId,
     },
-    /// A caller no longer waits. Its submission goes on.
+    /// A caller no longer waits. Its submission continues.
     Abandon {
-        /// Who waited.
+        /// Caller that waited.
         waiter: WaiterId,
-        /// For the answer of which submission.
+        /// Submission whose answer it waited for.
         id: SubmissionId,
     },
     /// An attempt ended. Follows each [`crate::Action::Start`] exactly once.
     Report(Report),
-    /// Usage that a worker measured for a running attempt.
+    /// Resource usage that a worker measured for a running attempt.
     Usage {
         /// The attempt.
         attempt: AttemptId,
-        /// What it occupies.
+        /// Resources in use.
         measured: Resources,
     },
-    /// A peer sent a message. Messages of one connection arrive in the order they were sent.
+    /// A peer sent a message. Messages of one connection arrive in the order in which they were
+    /// sent.
     Message {
-        /// The sender, authenticated.
+        /// The sender, authenticated by the connection.
         from: Home,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// A connection to a peer came up.
+    /// A connection to a peer was established.
     PeerUp {
         /// The peer.
         peer: Home,
     },
-    /// The connection to a peer is lost. What was sent may or may not have arrived.
+    /// The connection to a peer is lost. Messages sent over it may or may not have arrived.
     PeerDown {
         /// The peer.
         peer: Home,
     },
-    /// The outcome of an [`crate::Action::Claim`]. Follows each exactly once.
+    /// Result of a [`crate::Action::Claim`]. Follows each one exactly once.
     Claimed {
-        /// The waiter of the claim.
+        /// Caller for which the key was claimed.
         waiter: WaiterId,
-        /// What became of it.
+        /// Result of the key claim.
         result: ClaimResult,
     },
-    /// Accepted settings. Older revisions than the current are ignored.
+    /// Accepted settings. Revisions older than the current one are ignored.
     Settings {
-        /// Grows with each accepted change.
+        /// Revision; grows with each accepted change.
         revision: Revision,
-        /// The whole site.
+        /// The complete settings.
         site: Arc<Site>,
     },
-    /// The entries registered with the platform, a lagging list. Absence proves nothing.
+    /// The entries registered with the platform. The list lags, so an absent entry may still be
+    /// live.
     Registry {
-        /// The registered processes.
+        /// Registered processes.
         entries: Vec<Home>,
     },
-    /// The platform's lagging list of VMs, as far as it concerns entries and endpoints.
+    /// The platform's list of VMs, which lags, reduced to entries and endpoints.
     Machines {
-        /// Entries whose VM the list no longer holds.
+        /// Entries whose VM is no longer on the list.
         gone: Vec<EntryId>,
         /// Endpoints that the list marks as leaving.
         leaving: Vec<EndpointId>,
     },
-    /// Stop: admit nothing more, finish what was admitted, hand the table over, then
+    /// Drain: admit nothing more, finish what was admitted, hand the table over, then emit
     /// [`crate::Action::Exit`].
     Drain,
-    /// Time has passed; see [`crate::Entry::next_timer`].
+    /// A timer is due; see [`crate::Entry::next_timer`].
     Tick,
 }
 
-/// How an attempt ended.
+/// Report of an ended attempt.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What is known about it.
+    /// How it ended.
     pub reply: Reply,
-    /// The endpoint says that it is leaving.
+    /// Whether the endpoint reported that it is leaving.
     pub leaving: bool,
-    /// From the start action to the end.
+    /// Time from the start action to the end.
     pub elapsed: Span,
 }
 
-/// What is known about an ended attempt. The transport decides which; nothing else does.
+/// How an attempt ended, as far as this entry knows. Only the transport decides which variant
+/// applies.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// It ran and answered.
+    /// It ran and completed with this output.
     Done(Output),
-    /// It ran and ended in a failure.
+    /// It ran and failed with this output.
     Failed(Output),
-    /// The endpoint refused it and says that it did not run it.
+    /// The endpoint refused it and reports that it did not run it.
     Refused(Refusal),
     /// No byte of it left this process.
     NotSent,
-    /// It was sent, no whole answer came back, and it is over: the endpoint gave it up.
+    /// It was sent, no complete response was received, and it no longer runs: the endpoint gave it
+    /// up.
     Lost,
-    /// It was sent and nothing more is known; it may still run.
+    /// It was sent and its state is unknown; it may still run.
     Silent,
-    /// The time limit passed without a whole answer.
+    /// The time limit passed without a complete response.
     TimedOut,
 }
 
-/// Why an endpoint refused.
+/// Reason why an endpoint refused a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
     /// All slots are taken.
     Busy,
-    /// It is leaving.
+    /// The endpoint is leaving.
     Leaving,
-    /// Anything else.
+    /// Any other reason.
     Other,
 }
 
-/// What became of a claim on a key.
+/// Result of a key claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimResult {
-    /// The key now belongs to the proposed identifier.
+    /// The key now stands for the proposed identifier.
     Won(SubmissionId),
-    /// The key already belonged to this identifier.
+    /// The key already stands for this other identifier.
     Taken(SubmissionId),
-    /// The platform can't be asked, or its answer stays unknown. Nothing was admitted.
+    /// The platform is unavailable or its response was lost, so it is unknown whether the key was
+    /// claimed. Nothing was admitted.
     Unavailable,
 }
--- a/components/dispatch/src/index.rs
+++ b/components/dispatch/src/index.rs
@@ -1,4 +1,4 @@
-//! The site as the decisions look it up.
+//! Indexes the settings of a site for the lookups of the decision logic.
 
 use compact_str::CompactString;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -12,61 +12,61 @@
 };
 use std::{net::SocketAddr, sync::Arc};
 
-/// Names the pool that all worker services share.
+/// Identifier of the pool that all worker services share.
 pub(crate) const WORKER_POOL: ServiceId = ServiceId(0);
 
-/// Most tasks of one worker; its other resources are exhausted long before.
+/// Slots of each worker. A worker's other resources are exhausted long before.
 const WORKER_SLOTS: Slots = Slots(1_000);
 
-/// Data centres with links up to this latency form one cluster: a task there costs its way, and
-/// asking another entry for capacity costs more.
+/// Maximum link latency within a cluster. Placing a task in another data centre then costs only the
+/// latency, which is less than requesting capacity from another entry.
 const MAX_CLUSTER_LATENCY: Span = Span::from_millis(2);
 
-/// Processor capacity, in cores, that counts as a slot.
+/// Number of processor cores of a worker that count as one slot.
 const CORES_PER_SLOT: u32 = 1;
 
-/// An endpoint, resolved.
+/// An endpoint with the settings of its service, location and capacity resolved.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResolvedEndpoint {
-    /// The pool it belongs to.
+    /// Pool that it belongs to.
     pub(crate) pool: ServiceId,
-    /// Where it stands.
+    /// Data centre that it is in.
     pub(crate) data_centre: DataCentreId,
-    /// Its rack; zero for executors.
+    /// Rack; zero for executors.
     pub(crate) rack: RackId,
-    /// All that it offers.
+    /// Total capacity.
     pub(crate) capacity: Resources,
-    /// Gets no new work.
+    /// Whether it is leaving and gets no new work.
     pub(crate) leaving: bool,
 }
 
-/// The site, indexed by what decisions ask for.
+/// A site, indexed for the lookups of the decision logic.
 #[derive(Debug)]
 pub(crate) struct Index {
-    /// What is indexed.
+    /// The indexed settings.
     pub(crate) site: Arc<Site>,
-    /// Its version.
+    /// Revision of the settings.
     pub(crate) revision: Revision,
-    /// Every endpoint.
+    /// All endpoints.
     pub(crate) endpoints: FxHashMap<EndpointId, ResolvedEndpoint>,
-    /// Different capacities that occur in each pool; few.
+    /// Distinct endpoint capacities in each pool; there are few.
     capacities: FxHashMap<ServiceId, Vec<Resources>>,
     /// Endpoints of each pool.
     pub(crate) pools: FxHashMap<ServiceId, Vec<EndpointId>>,
-    /// Quota of each contract.
+    /// Quota of each contract; `None` without a limit.
     contracts: FxHashMap<(FirmId, ServiceId), Option<Slots>>,
     /// Crews of each firm.
     crews: FxHashSet<(FirmId, CrewId)>,
-    /// One-way latency from the own data centre.
+    /// One-way latency from the own data centre; data centres without a link are absent.
     latency: FxHashMap<DataCentreId, Span>,
-    /// The own data centre and those near it, sorted. All of them agree on it.
+    /// The own data centre and those near it, sorted. All of them compute the same list.
     pub(crate) cluster: Vec<DataCentreId>,
-    /// Entries that place tasks in the cluster, if there are as many.
+    /// Number of lead entries in the cluster, if it has that many entries.
     pub(crate) lead_count: usize,
 }
 
 impl Index {
-    /// Indexes a site as seen from `own`.
+    /// Indexes a site as seen from the data centre `own`.
     pub(crate) fn new(
         site: Arc<Site>,
         revision: Revision,
@@ -117,50 +117,51 @@
         }
     }
 
-    /// The pool that runs a service.
+    /// Returns the pool that runs a service; `None` when the settings don't contain it.
     pub(crate) fn pool(&self, service: ServiceId) -> Option<ServiceId> {
         self.site.services.get(&service).map(pool_of)
     }
 
-    /// Where an endpoint accepts connections.
+    /// Returns the address on which an endpoint accepts connections.
     pub(crate) fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         let executor = self.site.executors.get(&id).map(|executor| executor.address);
         executor.or_else(|| self.site.workers.get(&id).map(|worker| worker.address))
     }
 
-    /// The name of an endpoint.
+    /// Returns the name of an endpoint; empty when the settings don't contain it.
     pub(crate) fn name(&self, id: EndpointId) -> CompactString {
         let executor = self.site.executors.get(&id).map(|executor| executor.name.clone());
         let worker = || self.site.workers.get(&id).map(|worker| worker.name.clone());
         executor.or_else(worker).unwrap_or_default()
     }
 
-    /// Whether some endpoint of a pool could hold a task when empty.
+    /// Returns whether some empty endpoint of a pool could hold a task with these `needs`.
     pub(crate) fn could_fit(&self, pool: ServiceId, needs: &Resources) -> bool {
         self.capacities.get(&pool).into_iter().flatten().any(|capacity| capacity.fits(needs))
     }
 
-    /// The trade that decisions follow.
+    /// Returns the policy's preference between response time and messages.
     pub(crate) fn priority(&self) -> Priority {
         self.site.policy.prefer
     }
 
-    /// One-way latency from the own data centre; `None` without a link.
+    /// Returns the one-way latency from the own data centre; `None` without a link.
     pub(crate) fn latency(&self, to: DataCentreId) -> Option<Span> {
         self.latency.get(&to).copied()
     }
 
-    /// Weight of a firm; 1 when the settings don't name it.
+    /// Returns the weight of a firm; 1 when the settings don't contain it.
     pub(crate) fn weight(&self, firm: FirmId) -> Weight {
         self.site.firms.get(&firm).map_or(Weight(1), |firm| firm.weight)
     }
 
-    /// Weight of each firm.
+    /// Returns the weight of each firm.
     pub(crate) fn weights(&self) -> impl Iterator<Item = (FirmId, Weight)> {
         self.site.firms.iter().map(|(id, firm)| (*id, firm.weight))
     }
 
-    /// Quota of each firm with a contract for `pool`, summed over the pool's services.
+    /// Returns the quota of each firm with a contract for `pool`, summed over the pool's services.
+    /// The sum is `None` when one of its contracts has no limit.
     pub(crate) fn quotas(&self, pool: ServiceId) -> FxHashMap<FirmId, Option<Slots>> {
         let mut quotas = FxHashMap::default();
         for ((firm, service), quota) in &self.contracts {
@@ -173,7 +174,8 @@
         quotas
     }
 
-    /// Checks what the settings demand of a submission.
+    /// Checks a submission against the settings: service, contract, crew, number of tasks and body
+    /// size.
     pub(crate) fn check(&self, submission: &Submission) -> Result<(), (Outcome, Reason)> {
         let reject = |reason| Err((Outcome::NotRun, reason));
         let Some(service) = self.site.services.get(&submission.service) else {
@@ -198,7 +200,7 @@
     }
 }
 
-/// The pool that runs a service.
+/// Returns the pool that runs a service.
 pub(crate) fn pool_of(service: &Service) -> ServiceId {
     match service.place {
         Place::Executors => ServiceId::of(&service.name),
@@ -206,7 +208,8 @@
     }
 }
 
-/// The data centres that are joined to `own` by links of small latency, directly or not.
+/// Returns the data centres that are joined to `own`, directly or indirectly, by links of at most
+/// [`MAX_CLUSTER_LATENCY`].
 fn cluster(site: &Site, own: DataCentreId) -> Vec<DataCentreId> {
     let near = site.links.iter().filter(|link| link.latency <= MAX_CLUSTER_LATENCY);
     let ends: Vec<_> =
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -1,11 +1,11 @@
-//! The decisions of an entry: admission, sharing, placement, retries, recovery.
+//! Decision logic of an entry: admission, capacity sharing, placement, retries and recovery.
 //!
-//! [`Entry`] is the whole logic behind one facade: [`Entry::handle`] takes the time and an
-//! [`Event`] and appends the [`Action`]s that the caller must carry out, in order;
-//! [`Entry::next_timer`] tells when [`Event::Tick`] is due. The crate reads no clock, opens no
-//! socket and starts no thread, and its random choices come from the seed it is given, so the
-//! same events give the same actions. `handle` takes `&self`: state is kept in shards, each under
-//! its own lock, and several threads may call it at once.
+//! [`Entry`] is the interface to all of it: [`Entry::handle`] takes the time and an [`Event`] and
+//! appends the [`Action`]s that the caller must carry out, in order; [`Entry::next_timer`] returns
+//! when [`Event::Tick`] is due. The crate reads no clock, opens no socket and starts no thread, and
+//! its random choices come from the seed it is given, so the same events give the same actions.
+//! `handle` takes `&self`: state is kept in shards, each under its own lock, and several threads
+//! may call it at once.
 
 pub mod action;
 pub mod entry;
--- a/components/dispatch/src/message.rs
+++ b/components/dispatch/src/message.rs
@@ -1,4 +1,4 @@
-//! What entries say to each other.
+//! Messages between entries.
 
 use crate::action::Status;
 use serde::{Deserialize, Serialize};
@@ -9,139 +9,140 @@
 };
 use std::sync::Arc;
 
-/// Numbers a request of one entry to another; the answer carries it back.
+/// Number of a request from one entry to another; the response repeats it.
 pub type RequestId = u64;
 
 /// A message between two entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Submit at the home. The home answers with [`Message::Answered`]. Sending it again is
-    /// harmless.
+    /// Submit at the home. The home responds with [`Message::Answered`]. A repeated message has no
+    /// further effect.
     Submit {
-        /// Chosen by the sender.
+        /// Number chosen by the sender.
         request: RequestId,
-        /// The submission; its deadline is what is left of it.
+        /// The submission; its deadline is the time left.
         submission: Arc<Submission>,
     },
-    /// Wait for the answer of a submission.
+    /// Wait for the answer of a submission. The home responds with [`Message::Answered`].
     Fetch {
-        /// Chosen by the sender.
+        /// Number chosen by the sender.
         request: RequestId,
         /// The submission.
         id: SubmissionId,
-        /// Who asks.
+        /// Firm of the caller.
         firm: FirmId,
         /// Time left until the caller stops waiting.
         deadline: Span,
     },
-    /// Cancel a submission.
+    /// Cancel a submission. The home responds with [`Message::Answered`].
     Cancel {
-        /// Chosen by the sender.
+        /// Number chosen by the sender.
         request: RequestId,
         /// The submission.
         id: SubmissionId,
-        /// Who asks.
+        /// Firm of the caller.
         firm: FirmId,
     },
-    /// Ask how far a submission has come. The home answers with [`Message::Progress`].
+    /// Request the status of a submission. The home responds with [`Message::Progress`].
     Query {
-        /// Chosen by the sender.
+        /// Number chosen by the sender.
         request: RequestId,
         /// The submission.
         id: SubmissionId,
-        /// Who asks.
+        /// Firm of the caller.
         firm: FirmId,
     },
-    /// How far a submission has come.
+    /// Status of a submission.
     Progress {
-        /// The number of the request.
+        /// Number of the request.
         request: RequestId,
-        /// `None` when the identifier is unknown or another firm's.
+        /// `None` when the identifier is unknown or belongs to another firm.
         status: Option<Status>,
     },
     /// The final answer to a submission, fetch or cancellation.
     Answered {
-        /// The number of the request.
+        /// Number of the request.
         request: RequestId,
         /// The answer.
         answer: Arc<Answer>,
     },
-    /// The sender has tasks without capacity and asks the receiver to lend some.
+    /// The sender has queued tasks without capacity and asks the receiver to lend some.
     CapacityRequest(CapacityRequest),
     /// The sender lends capacity that it keeps.
     Lend(Lend),
-    /// The sender gives back capacity that it borrowed.
+    /// The sender returns capacity that it borrowed.
     Return(ServiceGrants),
-    /// The sender has tasks running on capacity that the receiver keeps since the members of the
-    /// data centre changed.
+    /// The sender has tasks running on capacity whose keeper, after a change of members, is now the
+    /// receiver.
     InUse(ServiceGrants),
-    /// How many tasks of a firm with a quota run at the sender, when it changed.
+    /// Number of tasks of a firm with a quota that run at the sender. Sent when it has changed.
     Usage(Usage),
-    /// The sender lives. Sent at a fixed interval inside a data centre.
+    /// Heartbeat. Sent at a fixed interval inside a data centre.
     Heartbeat(Heartbeat),
-    /// A part of a stopping home's table.
+    /// A part of a draining home's table.
     Handover(Handover),
-    /// The receiver of a handover has stored everything up to and including this part.
+    /// Confirms that the receiver of a handover has stored everything up to and including this
+    /// part.
     HandoverStored {
-        /// The home whose table it is.
+        /// Home that the table belongs to.
         home: Home,
-        /// The part.
+        /// Number of the part.
         part: u32,
     },
-    /// The table of a home that has stopped is now kept by another.
+    /// The table of a home that has stopped is now held by another entry.
     Moved {
         /// The home that stopped.
         home: Home,
-        /// Who keeps its table.
+        /// Entry that holds its table.
         successor: Home,
     },
-    /// Asks for settings newer than a revision.
+    /// Requests settings newer than a revision.
     SettingsWanted {
-        /// What the sender has; 0 for none.
+        /// Revision that the sender has; 0 for none.
         have: Revision,
     },
     /// A part of accepted settings.
     Settings(Settings),
 }
 
-/// A wish for capacity of a service.
+/// A request for capacity of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CapacityRequest {
-    /// What for.
+    /// Service that the capacity is for.
     pub service: ServiceId,
-    /// Tasks queued without capacity; zero withdraws the wish.
+    /// Number of tasks queued without capacity; zero withdraws the request.
     pub tasks: u32,
-    /// Tasks that the sender's capacity could run at one time, kept and borrowed.
+    /// Number of tasks that the sender's capacity, kept and borrowed, could run at one time.
     pub held: u32,
-    /// What the largest of them needs.
+    /// Resources that one task needs, taken from the task at the head of the queue.
     pub needs: Resources,
-    /// Demand of each firm at the sender, so that the keeper can weigh it.
+    /// Demand of each firm at the sender, by which the keeper weighs the request.
     pub demand: Vec<Demand>,
 }
 
-/// What a firm wants at one entry.
+/// Demand of a firm at one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The firm.
     pub firm: FirmId,
-    /// Its jobs with queued or running tasks.
+    /// Number of its jobs with queued or running tasks.
     pub jobs: u32,
 }
 
 /// Capacity that a keeper lends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lend {
-    /// What for.
+    /// Service that the capacity is for.
     pub service: ServiceId,
-    /// The capacity. The borrower may use it until it gives it back or loses its connection to the
+    /// The capacity. The borrower may use it until it returns it or loses its connection to the
     /// keeper.
     pub grants: Vec<Grant>,
 }
 
-/// Capacity that goes back to its keeper, or that a new keeper must count as lent.
+/// Capacity of one service that is returned to its keeper, or that a new keeper must count as lent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceGrants {
-    /// What it was lent for.
+    /// Service that the capacity was lent for.
     pub service: ServiceId,
     /// The capacity.
     pub grants: Vec<Grant>,
@@ -152,55 +153,56 @@
 pub struct Grant {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// How much of it.
+    /// Resources granted of it.
     pub resources: Resources,
 }
 
-/// Tasks of a firm that run at the sender.
+/// Usage of a firm's quota at the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// The pool.
     pub service: ServiceId,
     /// The firm.
     pub firm: FirmId,
-    /// Tasks running now.
+    /// Number of running tasks.
     pub running: Slots,
 }
 
-/// A sign of life.
+/// A periodic message that shows that the sender is live.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Settings in force at the sender.
+    /// Revision of the settings in force at the sender.
     pub revision: Revision,
-    /// The epoch of identifiers at the sender.
+    /// Current epoch of identifiers at the sender.
     pub epoch: u32,
-    /// The sender admits nothing more.
+    /// Whether the sender is draining and admits nothing more.
     pub draining: bool,
-    /// Homes whose tables the sender keeps.
+    /// Homes whose tables the sender has taken over.
     pub adopted: Vec<Home>,
 }
 
-/// A part of a table.
+/// A part of a table that is handed over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The home whose table it is.
+    /// Home that the table belongs to.
     pub home: Home,
-    /// Counts from 0.
+    /// Number of the part, counted from 0.
     pub part: u32,
     /// Whether this is the last part.
     pub last: bool,
-    /// The tables that all parts together hold: the sender's own and those that it had taken over.
+    /// The tables that all parts together contain: the sender's own and those that it had taken
+    /// over.
     pub tables: Vec<HomeTable>,
     /// Finished submissions.
     pub records: Vec<Record>,
 }
 
-/// A table that changes hands.
+/// A home's submission table within a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HomeTable {
-    /// Whose it was first.
+    /// Home that the table belonged to at first.
     pub home: Home,
-    /// The first epoch that it remembers whole.
+    /// First epoch from which on the table is complete.
     pub first_epoch: u32,
 }
 
@@ -209,11 +211,11 @@
 pub struct Record {
     /// The submission.
     pub id: SubmissionId,
-    /// Whose.
+    /// Firm of the submission.
     pub firm: FirmId,
-    /// Digest of its content, by which a reuse of the identifier is noticed.
+    /// Digest of the submission's content, by which a reuse of the identifier is detected.
     pub content: u64,
-    /// The final answer, or what is known when the answer itself is no longer kept.
+    /// The final answer, or a failure that summarises it when the answer itself is no longer kept.
     pub answer: Result<Arc<Answer>, Failure>,
 }
 
@@ -221,16 +223,16 @@
 /// wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Their revision.
+    /// Revision of the settings.
     pub revision: Revision,
-    /// Files that are the same in this revision are left out; 0 when all files are sent.
+    /// Revision against which unchanged files are left out; 0 when all files are sent.
     pub base: Revision,
-    /// Counts from 0.
+    /// Number of the part, counted from 0.
     pub part: u32,
     /// Whether this is the last part.
     pub last: bool,
     /// Name and content of each file.
     pub files: Vec<(String, Vec<u8>)>,
-    /// Names of the base's files that are gone.
+    /// Names of the base's files that no longer exist.
     pub removed: Vec<String>,
 }
--- a/components/dispatch/src/pool/admit.rs
+++ b/components/dispatch/src/pool/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of jobs into a pool, and their end.
+//! Admits jobs to a pool, or rejects them, and closes them.
 
 use super::{Pool, QueuedTask};
 use crate::{Action, Decision};
@@ -10,30 +10,31 @@
 };
 use std::sync::Arc;
 
-/// Most tasks that wait in one pool of one entry.
+/// Maximum number of tasks queued in one pool of one entry.
 const MAX_QUEUED_TASKS: usize = 500_000;
 
-/// Part of the time until its deadline that a job may be expected to take, in percent. The rest is
-/// for smaller jobs that come later and go first.
+/// Maximum expected time of a job at admission, in percent of the time until its deadline. The rest
+/// is left for smaller jobs that arrive later and are served before it.
 const MAX_EXPECTED_PERCENT: u64 = 40;
 
-/// Part of the time until its deadline after which a job is to be done, in percent.
+/// Time by which a job should be done, in percent of the time until its deadline.
 const COMPLETION_PERCENT: u64 = 75;
 
-/// Expected run time of all tasks up to which a job is small.
+/// Maximum expected run time of all tasks of a job that counts as small.
 const SMALL_JOB_WORK: Span = Span::from_secs(4);
 
-/// Service of its crew that a small job goes before, though others were due earlier.
+/// Amount of its crew's service by which a small job is moved forward in the queue, past jobs that
+/// were due earlier.
 const SMALL_JOB_HEAD_START: Span = Span::from_secs(5_000);
 
-/// Shortest time after which a refused caller is told to come back.
+/// Minimum retry delay sent to a rejected caller.
 const MIN_RETRY_AFTER: Span = Span::from_millis(100);
 
-/// Time after which a caller may come back when no endpoint is usable.
+/// Retry delay sent to a caller when no endpoint is usable.
 const NO_ENDPOINT_RETRY_AFTER: Span = Span::from_secs(1);
 
 impl Pool {
-    /// Queues the tasks of a job, or refuses all of them.
+    /// Queues the tasks of a job, or rejects the job as a whole.
     pub(crate) fn submit(
         &mut self,
         now: Time,
@@ -58,8 +59,8 @@
         Ok(())
     }
 
-    /// Work that may be served after the job's admission and before the job without making it
-    /// late, at the firm's share of the capacity.
+    /// Returns the work, at the firm's share of the capacity, that may be served between the job's
+    /// admission and its start without making it late.
     fn slack(&self, now: Time, job: &Job, expected: Span) -> Span {
         let spare = Span(job.deadline.since(now).0 / 100 * COMPLETION_PERCENT) - expected;
         let needs = self.needs(job, &self.declared(job, 0).0);
@@ -73,7 +74,7 @@
 
     fn enqueue(&mut self, job: &Arc<Job>, slack: Span) {
         let submission = &job.submission;
-        let patience = Span(slack.0 / submission.tasks.len() as u64);
+        let slack_per_task = Span(slack.0 / submission.tasks.len() as u64);
         let key = Key { firm: submission.firm, crew: submission.crew, job: JobKey(job.number) };
         for index in 0..submission.tasks.len() as u16 {
             let (_, hint) = self.declared(job, index);
@@ -86,7 +87,7 @@
                 charged: cost,
                 avoid: Vec::new(),
             };
-            self.queue.push_urgent(key, cost, patience, item);
+            self.queue.push_urgent(key, cost, slack_per_task, item);
         }
         if self.expected_work(job) <= SMALL_JOB_WORK {
             self.queue.hasten(JobKey(job.number), SMALL_JOB_HEAD_START);
@@ -94,7 +95,7 @@
         self.add_open_tasks(submission.firm, job.number, submission.tasks.len() as u32);
     }
 
-    /// Expected time until the job's answer, or why it is refused.
+    /// Returns the expected time until the job's answer, or the reason why it is rejected.
     fn admit(&self, now: Time, job: &Job) -> Result<Span, Failure> {
         let needs = self.check_size(job)?;
         let tasks = job.submission.tasks.len();
@@ -114,7 +115,7 @@
         Ok(expected)
     }
 
-    /// The needs of the job's largest task, if some endpoint could hold each of them.
+    /// Returns the needs of the job's largest task, or an error when some task fits no endpoint.
     fn check_size(&self, job: &Job) -> Result<Resources, Failure> {
         let mut largest = Resources::default();
         let mut checked = None;
@@ -133,8 +134,8 @@
         Ok(largest)
     }
 
-    /// The work served before the job and its own, divided by the tasks that run at one time,
-    /// and the run time of its last task.
+    /// Returns the expected time until the job is done: the work served before it and its own,
+    /// divided by the number of tasks that run at one time, plus the run time of its last task.
     fn expected_time(&self, job: &Job, parallel: u32) -> Span {
         let run_time = self.run_time(job);
         let tasks = job.submission.tasks.len() as u64;
@@ -146,18 +147,19 @@
         Span(work.0 / u64::from(parallel)) + run_time
     }
 
-    /// Expected run time of the job's first task.
+    /// Returns the expected run time of the job's first task.
     fn run_time(&self, job: &Job) -> Span {
         let (_, hint) = self.declared(job, 0);
         self.estimate.run_time(Self::estimate_key(job), hint)
     }
 
-    /// Expected run time of all tasks of a job, each taken as the first.
+    /// Returns the expected run time of all tasks of a job, assuming that each takes as long as the
+    /// first.
     fn expected_work(&self, job: &Job) -> Span {
         Span(self.run_time(job).0.saturating_mul(job.submission.tasks.len() as u64))
     }
 
-    /// Tasks that this entry can expect to run at one time.
+    /// Returns the number of tasks that this entry can expect to run at one time.
     fn parallelism(&self, needs: &Resources) -> u32 {
         let needs = &self.average_needs.needs(needs);
         let held = self.share.held.count(needs);
@@ -166,12 +168,13 @@
             true => held + local.saturating_sub(held) / 2,
             false => held.max(self.target(needs)),
         };
-        // What is lent comes back.
+        // Lent capacity is returned, so at least one task can run wherever the cluster has room for
+        // one.
         expected.max(local.min(1))
     }
 
-    /// Forbids further starts of a job, ends what can be ended, and tells whether any of its
-    /// tasks may have run.
+    /// Prevents further starts of a job, removes its queued tasks and stops its running attempts.
+    /// Returns whether any of its tasks may have run.
     pub(crate) fn close(&mut self, job: &Job, out: &mut Vec<Action>) -> bool {
         let started = job.close();
         let dropped = self.queue.cancel_job(JobKey(job.number));
@@ -185,7 +188,7 @@
     }
 }
 
-/// A refusal of something that has not run and will not.
+/// Returns the failure of a job of which nothing has run or will run.
 fn rejection(reason: Reason, retry_after: Option<Span>) -> Failure {
     Failure { outcome: Outcome::NotRun, reason, retry_after }
 }
--- a/components/dispatch/src/pool/attempt.rs
+++ b/components/dispatch/src/pool/attempt.rs
@@ -1,4 +1,5 @@
-//! The end of attempts.
+//! Handles the reports of ended attempts: health, placement, retries and the effect on the
+//! submission.
 
 use super::{Attempt, Effect, Hold, Pool, QueuedTask, observation};
 use crate::{
@@ -16,29 +17,29 @@
 };
 use std::cmp::Reverse;
 
-/// How long capacity that an endpoint said is taken stays unused.
+/// Time for which a slot stays unused after its endpoint refused a task as busy.
 const BUSY_HOLD: Span = Span::from_millis(50);
 
-/// When a caller may come back after no endpoint took its task.
+/// Retry delay sent to a caller when no endpoint accepted its task.
 const FAILED_RETRY_AFTER: Span = Span::from_millis(500);
 
 impl Pool {
-    /// Takes notice of the end of an attempt.
+    /// Handles the report of an ended attempt.
     pub(crate) fn report(&mut self, now: Time, report: Report, out: &mut Vec<Action>) -> Effect {
         let Some(attempt) = self.attempts.remove(&report.attempt) else {
-            return Effect::Nothing;
+            return Effect::None;
         };
         self.forget_running(report.attempt, &attempt);
         let firm = attempt.item.job.submission.firm;
         self.placement.release(attempt.endpoint, &attempt.needs);
         self.observe_health(now, &attempt, &report, out);
-        let ended = self.conclude(now, attempt, report, out);
+        let effect = self.conclude(now, attempt, report, out);
         self.send_usage(firm, out);
         self.schedule(now, out);
-        ended
+        effect
     }
 
-    /// Takes notice of what a running attempt occupies.
+    /// Records the resources that a worker measured for a running attempt.
     pub(crate) fn measure(&mut self, attempt: AttemptId, measured: Resources) {
         if let Some(attempt) = self.attempts.get_mut(&attempt) {
             let before = attempt.measured.unwrap_or_default();
@@ -66,12 +67,12 @@
         out: &mut Vec<Action>,
     ) {
         let endpoint = attempt.endpoint;
-        let what = observation(&report.reply, report.elapsed, attempt.item.cost);
-        let known = health::Attempt {
+        let observed = observation(&report.reply, report.elapsed, attempt.item.cost);
+        let details = health::Attempt {
             started: Some(attempt.started),
             cause: Some(health::Cause(attempt.item.job.number)),
         };
-        let change = self.health.observe_attempt(now, endpoint, what, known);
+        let change = self.health.observe_attempt(now, endpoint, observed, details);
         self.apply_health(now, endpoint, change, out);
         self.update_open(now, endpoint);
         if report.leaving || report.reply == Reply::Refused(Refusal::Leaving) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Gives an endpoint no new work from now on, since it said that it is leaving.
+    /// Stops giving new work to an endpoint that reported that it is leaving.
     fn mark_leaving(&mut self, endpoint: EndpointId, out: &mut Vec<Action>) {
         if self.reported_leaving.insert(endpoint) {
             let cause = Cause::Leaving;
@@ -91,8 +92,8 @@
         self.placement.set_open(endpoint, false);
     }
 
-    /// Takes over the platform's list of leaving endpoints. One that is no longer on it has come
-    /// back, whatever it said itself.
+    /// Applies the platform's list of leaving endpoints. An endpoint that is no longer on the list
+    /// is used again, even if it had reported itself as leaving.
     pub(crate) fn list_leaving(
         &mut self,
         now: Time,
@@ -100,14 +101,14 @@
         out: &mut Vec<Action>,
     ) {
         let listed: FxHashSet<_> = leaving.iter().copied().collect();
-        let back: Vec<_> = self.listed_leaving.difference(&listed).copied().collect();
-        let fresh: Vec<_> = listed.difference(&self.listed_leaving).copied().collect();
+        let removed: Vec<_> = self.listed_leaving.difference(&listed).copied().collect();
+        let added: Vec<_> = listed.difference(&self.listed_leaving).copied().collect();
         self.listed_leaving = listed;
-        for endpoint in back {
+        for endpoint in removed {
             self.reported_leaving.remove(&endpoint);
             self.update_open(now, endpoint);
         }
-        for endpoint in fresh {
+        for endpoint in added {
             if self.index.endpoints.get(&endpoint).is_some_and(|resolved| resolved.pool == self.key)
             {
                 let cause = Cause::Leaving;
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Leaves one task's room of an endpoint unused for a while.
+    /// Leaves one slot of an endpoint unused for [`BUSY_HOLD`].
     fn hold_slot(&mut self, now: Time, endpoint: EndpointId) {
         if self.is_uniform() && self.placement.take(endpoint, &Resources::SLOT) {
             self.holds.push(Reverse(Hold { until: now + BUSY_HOLD, endpoint }));
@@ -138,7 +139,7 @@
         let key = key_of(&attempt.item);
         if attempt.item.job.is_closed() {
             self.finish_task(key, &attempt, report.elapsed);
-            return Effect::Nothing;
+            return Effect::None;
         }
         let elapsed = report.elapsed;
         match (verdict, report.reply) {
@@ -151,7 +152,7 @@
                 if self.may_retry(now, verdict, &attempt.item) =>
             {
                 self.retry(key, attempt, &reply, out);
-                Effect::Nothing
+                Effect::None
             }
             (Verdict::GiveUp(outcome, reason), _) => {
                 self.finish_task(key, &attempt, elapsed);
@@ -191,7 +192,7 @@
         self.requeue(key, item);
     }
 
-    /// Ends a task's part in the queue's accounts.
+    /// Removes a task that has ended from the queue's accounts.
     fn finish_task(&mut self, key: Key, attempt: &Attempt, elapsed: Span) {
         self.queue.finish(key.firm, key.crew, attempt.item.charged, elapsed);
         self.remove_open_tasks(key.firm, attempt.item.job.number, 1);
@@ -225,7 +226,8 @@
             Outcome::NotRun if started => Outcome::MayHaveRun,
             known => known,
         };
-        // The answer is final: only what did not run can be tried again, under a new identifier.
+        // The answer is final: only a job that did not run can be submitted again, under a new
+        // identifier.
         let retry_after = (outcome == Outcome::NotRun).then_some(FAILED_RETRY_AFTER);
         let failure = Failure { outcome, reason, retry_after };
         Effect::Failed(item.job, failure)
--- a/components/dispatch/src/pool/average.rs
+++ b/components/dispatch/src/pool/average.rs
@@ -1,14 +1,14 @@
-//! What a task of a pool needs on average.
+//! Estimates the average needs of a pool's tasks.
 
 use site::unit::{Accelerators, Cores, Memory, Resources};
 
-/// Part of the average that each task replaces.
-const MIN_AVERAGE_STEP: f64 = 0.01;
+/// Smoothing factor: the minimum weight of a new task in the average.
+const MIN_SAMPLE_WEIGHT: f64 = 0.01;
 
-/// A moving average of what tasks were given.
+/// Exponential moving average of the resources reserved for tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AverageNeeds {
-    /// Tasks so far, as far as they matter to the average.
+    /// Number of tasks so far; the first ones are averaged with equal weight.
     count: u32,
     cores: f64,
     memory: f64,
@@ -16,17 +16,17 @@
 }
 
 impl AverageNeeds {
-    /// Takes a task into the average.
+    /// Adds a task to the average.
     pub(super) fn observe(&mut self, needs: &Resources) {
         self.count = self.count.saturating_add(1);
-        let step = MIN_AVERAGE_STEP.max(1.0 / f64::from(self.count));
-        let toward = |old: f64, new: f64| old + (new - old) * step;
-        self.cores = toward(self.cores, f64::from(needs.cores.0));
-        self.memory = toward(self.memory, needs.memory.0 as f64);
-        self.accelerators = toward(self.accelerators, f64::from(needs.accelerators.0));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.count));
+        let blend = |old: f64, new: f64| old + (new - old) * weight;
+        self.cores = blend(self.cores, f64::from(needs.cores.0));
+        self.memory = blend(self.memory, needs.memory.0 as f64);
+        self.accelerators = blend(self.accelerators, f64::from(needs.accelerators.0));
     }
 
-    /// The average, or `otherwise` before the first task.
+    /// Returns the average, or `otherwise` before the first task.
     pub(super) fn needs(&self, otherwise: &Resources) -> Resources {
         if self.count == 0 {
             return *otherwise;
--- a/components/dispatch/src/pool/lend.rs
+++ b/components/dispatch/src/pool/lend.rs
@@ -1,4 +1,4 @@
-//! Capacity that changes hands between entries.
+//! Lends capacity to other entries, borrows it and returns it.
 
 use super::{
     Pool,
@@ -13,11 +13,12 @@
     unit::{Resources, Span, Time},
 };
 
-/// Part of the idle capacity that is not lent to other data centres: one in this many.
+/// Divisor of the idle capacity that is reserved for the own cluster: one part in this many is not
+/// lent to other clusters.
 const RESERVE_DIVISOR: u32 = 4;
 
 impl Pool {
-    /// Takes what another entry lends.
+    /// Accepts capacity that another entry lends.
     pub(crate) fn borrow(&mut self, now: Time, from: Home, lend: Lend, out: &mut Vec<Action>) {
         let mut unknown = Vec::new();
         for grant in lend.grants {
@@ -41,7 +42,7 @@
         self.schedule(now, out);
     }
 
-    /// Takes back what this entry had lent.
+    /// Accepts capacity that another entry returns.
     pub(crate) fn reclaim(
         &mut self,
         now: Time,
@@ -52,7 +53,8 @@
         self.update_lent(now, grants, |kept, resources| kept.take_back(from, resources), out);
     }
 
-    /// Counts capacity as lent that another entry uses since before this one kept it.
+    /// Records capacity as lent that another entry has been using since before this entry became
+    /// its keeper.
     pub(crate) fn record_lent(
         &mut self,
         now: Time,
@@ -63,24 +65,24 @@
         self.update_lent(now, grants, |kept, resources| kept.lend(from, resources), out);
     }
 
-    /// Enters `grants` in the accounts of the endpoints that this entry keeps.
+    /// Applies `update` to the loans of the kept endpoints among `grants`.
     fn update_lent(
         &mut self,
         now: Time,
         grants: &[Grant],
-        enter: impl Fn(&mut Kept, &Resources),
+        update: impl Fn(&mut Kept, &Resources),
         out: &mut Vec<Action>,
     ) {
         for grant in grants {
             if let Some(kept) = self.share.kept.get_mut(&grant.endpoint) {
-                enter(kept, &grant.resources);
+                update(kept, &grant.resources);
                 self.update_usable(now, grant.endpoint);
             }
         }
         self.schedule(now, out);
     }
 
-    /// Sets capacity apart that is owed to others.
+    /// Allocates free capacity that is owed to neighbours or recalled by its keeper.
     pub(super) fn lend_owed(&mut self, now: Time) {
         self.return_recalled(now);
         if self.queue.is_empty() || self.share.owed == 0 {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// How long capacity for others is collected before it is sent.
+    /// Time for which capacity for other entries is collected before it is sent.
     fn batch_delay(&self) -> Span {
         match self.prefers_messages() {
             true => Span::from_millis(25),
@@ -118,14 +120,14 @@
         }
     }
 
-    /// The neighbour that holds least of what it wants.
+    /// Returns the requesting neighbour with the least capacity, and what its tasks need.
     fn neediest(&self) -> Option<(Home, Resources)> {
         let neighbours = self.share.peer_requests.iter().filter(|(_, peer)| !peer.remote);
         let neediest = neighbours.min_by_key(|(home, peer)| (peer.request.held, **home));
         neediest.map(|(home, peer)| (*home, peer.request.needs))
     }
 
-    /// Gives back what is idle, if this entry is not one that places tasks as a rule.
+    /// Returns all idle borrowed capacity if this entry keeps no endpoints and has nothing queued.
     fn return_idle(&mut self, now: Time) {
         if !self.share.kept.is_empty() || !self.queue.is_empty() || self.share.borrowed.is_empty() {
             return;
@@ -136,7 +138,7 @@
         self.return_recalled(now);
     }
 
-    /// Lends what is idle to those who want it.
+    /// Lends idle capacity to the entries that request it.
     pub(super) fn lend_idle(&mut self, now: Time) {
         self.return_idle(now);
         if !self.queue.is_empty() || self.share.peer_requests.is_empty() {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Tasks that need `needs` and that idle endpoints have room for.
+    /// Returns the number of tasks with these `needs` that fit the free capacity.
     fn idle_tasks(&self, needs: &Resources) -> u32 {
         if self.is_uniform() {
             return self.placement.total_free().0;
@@ -170,7 +172,7 @@
         self.placement.free_endpoints(false).map(|(_, free)| free.count(needs)).sum()
     }
 
-    /// Sets idle capacity for up to `tasks` tasks apart for `to`; returns for how many.
+    /// Allocates idle capacity for up to `tasks` tasks to `to`. Returns the number of tasks.
     fn hand_out(&mut self, now: Time, to: Home, tasks: u32, needs: &Resources) -> u32 {
         let mut given = 0;
         let free: Vec<_> = self.placement.free_endpoints(false).collect();
@@ -214,7 +216,7 @@
         self.update_usable(now, endpoint);
     }
 
-    /// Sends what was set apart, when it is due.
+    /// Sends the grants in the outbox once they are due.
     pub(super) fn flush(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.share.outbox.due.is_none_or(|due| due > now) {
             return;
--- a/components/dispatch/src/pool/members.rs
+++ b/components/dispatch/src/pool/members.rs
@@ -1,4 +1,4 @@
-//! Which endpoints this entry keeps, as members, settings and connections change.
+//! Updates the endpoints that this entry keeps or uses as members, settings and connections change.
 
 use super::{Pool, share::Borrowed};
 use crate::{
@@ -11,21 +11,22 @@
     unit::{Resources, Time},
 };
 
-/// Members of the site as a pool needs them.
+/// The members of the site, in the form that a pool needs.
 pub(crate) struct Members<'a> {
-    /// Who keeps an endpoint of a data centre of the cluster; `None` where nobody near can reach it.
+    /// Returns the keeper of an endpoint in a data centre of the cluster; `None` if no entry of the
+    /// cluster can reach it.
     pub(crate) keeper: &'a dyn Fn(EndpointId, DataCentreId) -> Option<Home>,
     /// Other live entries of the cluster.
     pub(crate) neighbours: Vec<Home>,
-    /// Those of them that keep endpoints.
+    /// Those neighbours that keep endpoints.
     pub(crate) lenders: Vec<Home>,
-    /// Live entries of other clusters with a link.
+    /// Live entries of data centres outside the cluster that have a link to this one.
     pub(crate) distant: Vec<Home>,
 }
 
 impl Pool {
-    /// Takes over a change of members or settings: which endpoints this entry keeps, and whom it
-    /// may borrow from.
+    /// Applies a change of members or settings: updates which endpoints this entry keeps and from
+    /// which entries it may borrow.
     pub(crate) fn apply_members(
         &mut self,
         now: Time,
@@ -53,15 +54,15 @@
             moved.extend(self.assign(now, *endpoint, keeper, resolved.capacity));
         }
         for (keeper, grant) in moved {
-            let holding = ServiceGrants { service: self.key, grants: vec![grant] };
-            out.push(Action::Send { to: keeper, message: Message::InUse(holding) });
+            let used = ServiceGrants { service: self.key, grants: vec![grant] };
+            out.push(Action::Send { to: keeper, message: Message::InUse(used) });
         }
         self.drop_unlisted(now);
         self.schedule(now, out);
     }
 
-    /// Makes `keeper` the keeper of an endpoint. Returns what this entry still uses of an endpoint
-    /// that another keeps now.
+    /// Records `keeper` as the keeper of an endpoint. Returns the keeper and the capacity that this
+    /// entry still uses, if the endpoint is now kept by another entry.
     fn assign(
         &mut self,
         now: Time,
@@ -77,8 +78,8 @@
         }
         let was_kept = self.share.kept.remove(&endpoint).is_some();
         let borrowed = self.share.borrowed.get(&endpoint);
-        let was_lent = borrowed.is_some_and(|b| Some(b.keeper) != keeper);
-        if !was_kept && !was_lent {
+        let was_borrowed = borrowed.is_some_and(|b| Some(b.keeper) != keeper);
+        if !was_kept && !was_borrowed {
             if borrowed.is_some() {
                 self.update_usable(now, endpoint);
             }
@@ -86,17 +87,17 @@
         }
         let in_use = self.placement.in_use(endpoint);
         self.share.borrowed.remove(&endpoint);
-        let holding = keeper.filter(|_| in_use != Resources::default());
-        if let Some(keeper) = holding {
+        let used = keeper.filter(|_| in_use != Resources::default());
+        if let Some(keeper) = used {
             self.share
                 .borrowed
                 .insert(endpoint, Borrowed { keeper, resources: in_use, recalled: false });
         }
         self.update_usable(now, endpoint);
-        holding.map(|keeper| (keeper, Grant { endpoint, resources: in_use }))
+        used.map(|keeper| (keeper, Grant { endpoint, resources: in_use }))
     }
 
-    /// Forgets accounts with entries that are no longer members.
+    /// Drops loans and requests of entries that are no longer members.
     fn drop_absent(&mut self, now: Time, members: &Members<'_>) {
         let present =
             |home: &Home| members.neighbours.contains(home) || members.distant.contains(home);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Forgets endpoints that the settings no longer name.
+    /// Drops endpoints that the settings no longer contain.
     fn drop_unlisted(&mut self, now: Time) {
         let index = self.index.clone();
         let unlisted: Vec<_> =
@@ -134,7 +135,7 @@
         self.reported_leaving.retain(|endpoint| index.endpoints.contains_key(endpoint));
     }
 
-    /// Forgets accounts with an entry whose connection is lost.
+    /// Drops loans and requests of an entry whose connection is lost.
     pub(crate) fn peer_down(&mut self, now: Time, peer: Home, out: &mut Vec<Action>) {
         self.share.neighbours.retain(|home| *home != peer);
         self.share.lenders.retain(|home| *home != peer);
@@ -148,12 +149,12 @@
         self.schedule(now, out);
     }
 
-    /// A connection came up: the peer is told again what it must know.
+    /// Handles a new connection: sends the peer this entry's quota usage.
     pub(crate) fn peer_up(&mut self, peer: Home, out: &mut Vec<Action>) {
         self.send_all_usage(peer, out);
     }
 
-    /// Carries what this entry may use of an endpoint over to its placement.
+    /// Updates placement and health with the capacity that this entry may now use of an endpoint.
     pub(super) fn update_usable(&mut self, now: Time, endpoint: EndpointId) {
         let usable = self.share.usable(endpoint);
         let before = self.share.usable_by_endpoint.insert(endpoint, usable).unwrap_or_default();
--- a/components/dispatch/src/pool/mod.rs
+++ b/components/dispatch/src/pool/mod.rs
@@ -1,10 +1,10 @@
-//! A pool: the endpoints that serve one executor service, or all workers, with the tasks that
-//! wait for them.
+//! A pool: the endpoints that serve one executor service, or all workers, and the tasks queued for
+//! them.
 //!
-//! Every endpoint has one keeper, an entry of its cluster, which counts its capacity. The
-//! keeper lends part of it to entries that want it; they use it until asked to give it back. A
-//! wrong view of who keeps what costs a refused attempt and nothing else, since the endpoint
-//! itself refuses what it has no room for.
+//! Every endpoint has one keeper, an entry of its cluster, which counts its capacity. The keeper
+//! lends part of it to entries that request it; they use it until they are asked to return it. A
+//! wrong view of an endpoint's keeper costs only a refused attempt, since the endpoint itself
+//! refuses a task that it has no room for.
 
 mod admit;
 mod attempt;
@@ -46,30 +46,30 @@
 #[derive(Debug)]
 struct QueuedTask {
     job: Arc<Job>,
-    /// The task's position in the job.
+    /// Index of the task in its job.
     index: u16,
-    /// Attempts made.
+    /// Number of attempts made.
     attempts: u8,
-    /// Expected run time when it was queued.
+    /// Expected run time at the time of queueing.
     cost: Span,
-    /// What the firm is charged for the task so far.
+    /// Cost charged to the firm for the task so far.
     charged: Span,
-    /// Endpoints that failed it.
+    /// Endpoints on which the task failed.
     avoid: Vec<EndpointId>,
 }
 
-/// A task that was sent to an endpoint. Exists from before its first byte is sent until its
-/// report.
+/// An attempt at a task. Exists from before the first byte is sent to the endpoint until the
+/// attempt's report.
 #[derive(Debug)]
 struct Attempt {
     item: QueuedTask,
     endpoint: EndpointId,
     started: Time,
-    /// What is reserved.
+    /// Resources reserved on the endpoint.
     needs: Resources,
-    /// What the caller declared.
+    /// Resources that the caller declared.
     declared: Resources,
-    /// What a worker last measured.
+    /// Maximum of the resources that the worker measured; `None` before the first measurement.
     measured: Option<Resources>,
 }
 
@@ -77,33 +77,33 @@
 #[derive(Debug, Default)]
 struct Running {
     attempts: Vec<AttemptId>,
-    /// The racks they are on.
+    /// Racks on which they run.
     spread: placement::Spread,
 }
 
-/// Capacity that is left unused until a moment, since its endpoint said that it is taken.
+/// A slot that stays unused until a point in time, since its endpoint refused a task as busy.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Hold {
     until: Time,
     endpoint: EndpointId,
 }
 
-/// What a report means for its submission.
+/// Effect of an attempt's report on its submission.
 #[derive(Debug)]
 pub(crate) enum Effect {
-    /// A task has its output.
+    /// A task completed with this output; the number is its index in the job.
     Output(Arc<Job>, u16, Output),
     /// The submission fails.
     Failed(Arc<Job>, Failure),
-    /// Another attempt follows, or nobody waits any more.
-    Nothing,
+    /// None: another attempt follows, or the job is already closed.
+    None,
 }
 
 /// The state of one pool in one entry.
 pub(crate) struct Pool {
-    /// The service, or [`WORKERS`].
+    /// The service, or [`WORKER_POOL`].
     key: ServiceId,
-    /// Upper bits of the attempt identifiers of this pool.
+    /// Number of the pool, in the upper bits of its attempt identifiers.
     number: u16,
     home: Home,
     index: Arc<Index>,
@@ -115,31 +115,32 @@
     attempts: FxHashMap<AttemptId, Attempt>,
     /// Running attempts of each job, by job number.
     running: FxHashMap<u64, Running>,
-    /// Quotas of firms that have one.
+    /// Quotas in force, by firm; firms without a quota are absent.
     quotas: FxHashMap<FirmId, Slots>,
-    /// What is told and heard of firms with a quota.
+    /// Usage of each firm with a quota, here and at other entries.
     quota_usage: FxHashMap<FirmId, quota::FirmUsage>,
-    /// Open jobs of each firm that have queued or running tasks here.
+    /// Number of queued and running tasks of each open job, by firm and job number.
     open_tasks: FxHashMap<FirmId, FxHashMap<u64, u32>>,
-    /// Counts attempts.
+    /// Number of attempts made in this pool.
     sequence: u64,
     holds: BinaryHeap<Reverse<Hold>>,
-    /// Endpoints that are leaving by their own answer.
+    /// Endpoints that reported that they are leaving.
     reported_leaving: FxHashSet<EndpointId>,
-    /// Endpoints that are leaving by the platform's list.
+    /// Endpoints that are leaving according to the platform's list.
     listed_leaving: FxHashSet<EndpointId>,
-    /// How many times as long slow endpoints take.
+    /// Slowdown factors of slow endpoints: actual run time divided by the expected one.
     slow_factors: FxHashMap<EndpointId, f32>,
-    /// Endpoints on trial, with the time of the latest one, or since when they wait for one.
+    /// Endpoints on trial, with the time of the latest trial, or the time since which they have
+    /// been waiting for one.
     trials: BTreeMap<EndpointId, Time>,
     average_needs: average::AverageNeeds,
-    /// Whether the last round left a task that no endpoint had room for.
+    /// Whether the last scheduling round left a task that did not fit any endpoint.
     has_unplaced: bool,
     share: share::Share,
 }
 
 impl Pool {
-    /// An empty pool; [`Pool::configure`] and [`Pool::rekey`] fill it.
+    /// Returns an empty pool; [`Pool::configure`] and [`Pool::apply_members`] fill it.
     pub(crate) fn new(
         key: ServiceId,
         number: u16,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Takes over new settings. [`Pool::rekey`] must follow.
+    /// Applies new settings. [`Pool::apply_members`] must follow.
     pub(crate) fn configure(&mut self, index: Arc<Index>) {
         for (firm, weight) in index.weights() {
             self.queue.set_firm_weight(firm, weight);
@@ -194,7 +195,7 @@
         self.index = index;
     }
 
-    /// Whether all tasks of the pool need the same.
+    /// Whether all tasks of the pool have the same needs.
     fn is_uniform(&self) -> bool {
         self.key != WORKER_POOL
     }
@@ -203,7 +204,7 @@
         self.index.priority() == Priority::Messages
     }
 
-    /// What the run times and sizes of a job's tasks are measured under.
+    /// Key under which the run times and sizes of a job's tasks are estimated.
     fn estimate_key(job: &Job) -> placement::Kind {
         placement::Kind { firm: job.submission.firm, service: job.submission.service }
     }
@@ -225,13 +226,14 @@
         (needs.with_slot(), run_time)
     }
 
-    /// What to reserve for a task.
+    /// Returns the resources to reserve for a task.
     fn needs(&self, job: &Job, declared: &Resources) -> Resources {
         if self.is_uniform() {
             return Resources::SLOT;
         }
         let corrected = self.estimate.needs(Self::estimate_key(job), declared).with_slot();
-        // A correction learnt from tasks that were declared far too small may exceed all workers.
+        // A correction learnt from tasks that were declared far too small may exceed the capacity
+        // of every worker.
         match self.index.could_fit(self.key, &corrected) {
             true => corrected,
             false => *declared,
@@ -242,7 +244,7 @@
         *self.open_tasks.entry(firm).or_default().entry(job).or_default() += tasks;
     }
 
-    /// Notes that `tasks` tasks of a job are neither queued nor running any more.
+    /// Subtracts tasks of a job that are no longer queued or running.
     fn remove_open_tasks(&mut self, firm: FirmId, job: u64, tasks: u32) {
         let Some(jobs) = self.open_tasks.get_mut(&firm) else {
             return;
@@ -259,7 +261,7 @@
         }
     }
 
-    /// What operators see of the pool.
+    /// Returns the pool's state for operators.
     pub(crate) fn overview(&self) -> PoolView {
         let endpoints = self.share.endpoints().map(|id| EndpointView {
             name: self.index.name(id),
@@ -276,20 +278,20 @@
     }
 }
 
-/// An endpoint as one entry uses it.
+/// State of an endpoint as seen by one entry.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct EndpointView {
-    /// Its name in the settings.
+    /// Name of the endpoint in the settings.
     pub name: CompactString,
-    /// Reserved by this entry's attempts.
+    /// Resources reserved by this entry's attempts.
     pub in_use: Resources,
-    /// Free to this entry.
+    /// Resources that this entry may still use.
     pub free: Resources,
-    /// Its health.
+    /// Health state.
     pub state: CompactString,
 }
 
-/// How an observation of health follows from a reply.
+/// Returns the health observation that follows from a reply.
 fn observation(reply: &Reply, elapsed: Span, expected: Span) -> health::Observation {
     match reply {
         Reply::Done(_) => health::Observation::Done { elapsed, expected },
--- a/components/dispatch/src/pool/quota.rs
+++ b/components/dispatch/src/pool/quota.rs
@@ -1,8 +1,8 @@
-//! Quotas of firms over all entries.
+//! Applies the quotas of firms across all entries.
 //!
-//! Entries that place tasks tell each other how many tasks of a firm with a quota run at each of them, in steps of
-//! a tenth of the quota. Between two steps a quota may be exceeded by a tenth for each entry, and
-//! by what entries start at the same moment.
+//! Entries that place tasks report to each other how many tasks of a firm with a quota they run,
+//! whenever the number has changed by a tenth of the quota. Between two reports the quota may be
+//! exceeded by a tenth for each entry, plus the tasks that entries start at the same moment.
 
 use super::Pool;
 use crate::{Action, Message, message::Usage};
@@ -12,20 +12,21 @@
     unit::{Slots, Time},
 };
 
-/// Parts of a quota by which a change is told.
+/// Number of steps that a quota is divided into; a change of at least one step is reported.
 const USAGE_STEPS_PER_QUOTA: u32 = 10;
 
-/// What is told and heard of one firm.
+/// Running tasks of one firm with a quota.
 #[derive(Debug, Default)]
 pub(super) struct FirmUsage {
-    /// Running here as the others know it.
+    /// Number running here, as last reported to the other entries.
     reported: u32,
-    /// Running at others as they told.
+    /// Number running at each other entry, as last received.
     running_at_peers: FxHashMap<Home, u32>,
 }
 
 impl Pool {
-    /// Tells others how many tasks of a firm run here, if they must know.
+    /// Reports the number of a firm's tasks that run here, if it has changed by a step or dropped
+    /// to zero.
     pub(super) fn send_usage(&mut self, firm: FirmId, out: &mut Vec<Action>) {
         let Some(quota) = self.quotas.get(&firm).copied() else {
             return;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Tells a peer all that it must know.
+    /// Sends a peer the last reported usage of every firm with a quota.
     pub(super) fn send_all_usage(&self, peer: Home, out: &mut Vec<Action>) {
         for (firm, usage_of_firm) in &self.quota_usage {
             let running = Slots(usage_of_firm.reported);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes notice of a firm's tasks at another entry.
+    /// Handles another entry's report of a firm's running tasks.
     pub(crate) fn receive_usage(
         &mut self,
         now: Time,
@@ -70,7 +71,7 @@
         self.schedule(now, out);
     }
 
-    /// Forgets what entries told that are not members any more.
+    /// Drops the reports of entries that are no longer members.
     pub(super) fn drop_absent_usage(&mut self) {
         let neighbours = &self.share.neighbours;
         let distant = &self.share.distant;
--- a/components/dispatch/src/pool/request.rs
+++ b/components/dispatch/src/pool/request.rs
@@ -1,4 +1,4 @@
-//! Wishes for capacity: sent when tasks wait, heard from others, and weighed against each other.
+//! Sends capacity requests to other entries and handles those received.
 
 use super::{
     Pool,
@@ -13,20 +13,21 @@
     unit::{Resources, Span, Time},
 };
 
-/// A wish is forgotten after this unless it is repeated.
+/// Time after which a received capacity request expires unless it is repeated.
 const REQUEST_LIFETIME: Span = Span::from_millis(1_000);
 
-/// A wish that still stands is repeated after this.
+/// Interval at which a capacity request that is not satisfied is repeated.
 const REQUEST_REPEAT_INTERVAL: Span = Span::from_millis(500);
 
-/// A wish that grew is repeated no sooner than this.
+/// Minimum interval after which a capacity request is repeated early because the queue has more
+/// than doubled.
 const MIN_GROWTH_INTERVAL: Span = Span::from_millis(20);
 
-/// Most firms that a wish names; the rest count for nothing at the keeper.
+/// Maximum number of firms in a capacity request. The keeper gives no weight to the others.
 const MAX_DEMAND_FIRMS: usize = 16;
 
 impl Pool {
-    /// Asks others for capacity, if tasks wait for it.
+    /// Requests capacity from other entries if queued tasks did not fit any endpoint.
     pub(super) fn request_capacity(&mut self, now: Time, out: &mut Vec<Action>) {
         let Some((_, head)) = self.queue.peek().filter(|_| self.has_unplaced) else {
             self.share.own_request = None;
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Whom to ask: those who keep endpoints near, those who hold something of this entry's, and
-    /// after a while those of other clusters.
+    /// Returns the entries to ask: neighbours that keep endpoints, borrowers of endpoints that this
+    /// entry keeps, and entries of other clusters if `remote` is set and the wait is worth the
+    /// distance.
     fn lender_homes(&self, remote: bool) -> Vec<Home> {
         let mut homes = self.share.lenders.clone();
         let borrowers = self.share.kept.values().flat_map(|kept| &kept.lent);
@@ -72,7 +74,7 @@
         !self.index.cluster.contains(&home.data_centre)
     }
 
-    /// How long to wait for neighbours before other data centres are asked.
+    /// Returns the time for which only entries of the cluster are asked.
     fn remote_delay(&self) -> Span {
         match self.prefers_messages() {
             true => Span::from_millis(50),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Whether waiting here takes longer than the way to the nearest other data centre and back.
+    /// Whether the expected wait here exceeds two round trips to the nearest other cluster.
     fn is_remote_worthwhile(&self) -> bool {
         let Some((key, head)) = self.queue.peek() else {
             return false;
@@ -102,7 +104,7 @@
         demand
     }
 
-    /// When [`Pool::wish`] may have to ask again.
+    /// Returns when [`Pool::request_capacity`] may have to ask again.
     pub(super) fn next_capacity_request(&self) -> Option<Time> {
         let sent = self.share.own_request?;
         let repeat = sent.last_sent + REQUEST_REPEAT_INTERVAL;
@@ -110,7 +112,7 @@
         Some(distant.map_or(repeat, |distant| distant.min(repeat)))
     }
 
-    /// Takes notice of another entry's wish.
+    /// Handles another entry's capacity request.
     pub(crate) fn receive_request(
         &mut self,
         now: Time,
@@ -135,13 +137,13 @@
         self.schedule(now, out);
     }
 
-    /// Capacity, in tasks, that this entry should hold while others want some too.
+    /// Returns the capacity, in tasks, that this entry should hold while others request some too.
     pub(super) fn target(&self, needs: &Resources) -> u32 {
         let held = self.share.held.count(needs);
         self.share.target(held, &self.demand(), |firm| self.index.weight(firm))
     }
 
-    /// Marks everything borrowed from a data centre as to be given back.
+    /// Marks all capacity borrowed from a data centre as recalled.
     fn recall(&mut self, data_centre: DataCentreId) {
         for borrowed in self.share.borrowed.values_mut() {
             borrowed.recalled |= borrowed.keeper.data_centre == data_centre;
@@ -150,7 +152,7 @@
 }
 
 impl OwnRequest {
-    /// Whether the wish is to be sent again.
+    /// Whether the request should be sent again.
     fn should_repeat(&self, now: Time, tasks: u32, remote: bool) -> bool {
         let grown =
             tasks > self.tasks.saturating_mul(2) && now >= self.last_sent + MIN_GROWTH_INTERVAL;
--- a/components/dispatch/src/pool/schedule.rs
+++ b/components/dispatch/src/pool/schedule.rs
@@ -1,4 +1,4 @@
-//! Takes tasks from the queue and places them.
+//! Takes tasks from the queue and starts attempts on the endpoints chosen by placement.
 
 use super::{Attempt, Pool, QueuedTask};
 use crate::{
@@ -11,20 +11,20 @@
     unit::{Resources, Span, Time},
 };
 
-/// Tasks that one round passes over since no endpoint has room for them.
+/// Maximum number of tasks that one round skips because they fit no endpoint.
 const MAX_SKIPPED_TASKS: usize = 8;
 
-/// Bits of an attempt identifier below the pool's number.
+/// Number of bits of an attempt identifier below the pool's number.
 const SEQUENCE_BITS: u32 = 48;
 
-/// The number of the pool that an attempt belongs to.
+/// Returns the number of the pool that an attempt belongs to.
 pub(crate) fn pool_number(attempt: AttemptId) -> u16 {
     (attempt.0 >> SEQUENCE_BITS) as u16
 }
 
 impl Pool {
-    /// Does all that became possible: serves others what is owed, starts tasks, offers what is
-    /// idle, and asks for what is missing.
+    /// Runs all scheduling steps: lends what is owed, starts queued tasks, lends what is idle,
+    /// requests missing capacity and sends due grants.
     pub(super) fn schedule(&mut self, now: Time, out: &mut Vec<Action>) {
         self.share.expire_requests(now);
         self.lend_owed(now);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns a task to the head of its job's queue; what it was charged stays charged.
+    /// Returns a task to the head of its job's queue. Its charge is kept.
     pub(super) fn requeue(&mut self, key: Key, item: QueuedTask) {
         self.queue.finish(key.firm, key.crew, item.charged, item.charged);
         self.queue.push_front(key, item.cost, item);
@@ -72,7 +72,7 @@
         self.remove_open_tasks(key.firm, item.job.number, 1);
     }
 
-    /// An endpoint with room that may be used now, its resources taken.
+    /// Chooses a usable endpoint with room for the task and reserves its resources.
     fn choose(&mut self, now: Time, item: &QueuedTask, needs: &Resources) -> Option<EndpointId> {
         if let Some(endpoint) = self.choose_trial(now, item, needs) {
             return Some(endpoint);
@@ -92,15 +92,17 @@
         }
     }
 
-    /// Whether a task is done sooner on this endpoint than by waiting for a faster one.
+    /// Whether a task is expected to finish sooner on this endpoint than by waiting for a faster
+    /// one.
     ///
-    /// A slow endpoint is chosen only when no other has room. The wait for another is estimated by
-    /// the work that is queued, spread over all that this entry may use.
+    /// A slow endpoint is chosen only when no other has room. The wait for a faster one is
+    /// estimated as the queued work divided by all the capacity that this entry may use.
     fn is_endpoint_worthwhile(&self, endpoint: EndpointId, run_time: Span) -> bool {
         let Some(factor) = self.slow_factors.get(&endpoint) else {
             return true;
         };
-        // Nothing faster would come: all of them, or the estimate, are off.
+        // When all usable endpoints are slow, no faster one will become free, or the estimate is
+        // wrong.
         if self.slow_factors.len() >= self.share.usable_by_endpoint.len() {
             return true;
         }
--- a/components/dispatch/src/pool/share.rs
+++ b/components/dispatch/src/pool/share.rs
@@ -1,4 +1,4 @@
-//! Who keeps, lends and borrows which capacity.
+//! Records which capacity of a pool this entry keeps, lends and borrows.
 
 use crate::message::{CapacityRequest, Demand, Grant};
 use rustc_hash::FxHashMap;
@@ -10,20 +10,20 @@
 /// An endpoint that this entry keeps.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Kept {
-    /// All that the endpoint offers.
+    /// Total capacity of the endpoint.
     pub(super) capacity: Resources,
-    /// What is lent of it. The sum may exceed the capacity after a change of members; then
-    /// nothing is free until enough came back.
+    /// Capacity lent to each entry. The sum may exceed the total capacity after a change of
+    /// members; then nothing is free until enough has been returned.
     pub(super) lent: Vec<(Home, Resources)>,
 }
 
 impl Kept {
-    /// What is not lent.
+    /// Returns the capacity that is not lent.
     pub(super) fn own(&self) -> Resources {
         self.lent.iter().fold(self.capacity, |left, (_, lent)| left.minus(lent))
     }
 
-    /// Notes capacity as lent.
+    /// Records capacity as lent.
     pub(super) fn lend(&mut self, to: Home, resources: &Resources) {
         match self.lent.iter_mut().find(|(home, _)| *home == to) {
             Some((_, lent)) => *lent = lent.plus(resources),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Notes capacity as given back.
+    /// Records capacity as returned.
     pub(super) fn take_back(&mut self, from: Home, resources: &Resources) {
         if let Some((_, lent)) = self.lent.iter_mut().find(|(home, _)| *home == from) {
             *lent = lent.minus(resources);
@@ -40,69 +40,69 @@
     }
 }
 
-/// An endpoint of which this entry has borrowed.
+/// Capacity of an endpoint that this entry has borrowed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Borrowed {
-    /// Who lent it.
+    /// The lender.
     pub(super) keeper: Home,
-    /// How much.
+    /// The borrowed capacity.
     pub(super) resources: Resources,
-    /// To be given back as soon as it is idle.
+    /// Whether it must be returned as soon as it is idle.
     pub(super) recalled: bool,
 }
 
-/// A wish that another entry has sent.
+/// A capacity request received from another entry.
 #[derive(Clone, Debug)]
 pub(super) struct PeerRequest {
     pub(super) request: CapacityRequest,
-    /// Forgotten then.
+    /// Time at which the request expires.
     pub(super) until: Time,
-    /// From another cluster: gets only what is idle.
+    /// Whether the requester is in another cluster; it is lent only idle capacity.
     pub(super) remote: bool,
 }
 
-/// The wish that this entry has sent.
+/// The last capacity request that this entry sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OwnRequest {
-    /// Tasks wished for.
+    /// Number of tasks that capacity was requested for.
     pub(super) tasks: u32,
-    /// When it was sent first.
+    /// Time of the first request since tasks began to wait for capacity.
     pub(super) first_sent: Time,
-    /// When it was sent last.
+    /// Time of the latest request.
     pub(super) last_sent: Time,
-    /// Whether other data centres were asked too.
+    /// Whether entries of other clusters were asked too.
     pub(super) remote: bool,
 }
 
-/// Capacity on its way to others, sent together.
+/// Grants collected to be sent together.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    /// Lent by this entry as keeper.
+    /// Capacity lent by this entry as keeper, by borrower.
     pub(super) lend: FxHashMap<Home, Vec<Grant>>,
-    /// Given back to the keepers.
+    /// Borrowed capacity that is returned, by keeper.
     pub(super) give_back: FxHashMap<Home, Vec<Grant>>,
-    /// Sent no later than this; `None` when empty.
+    /// Time by which the grants must be sent; `None` when empty.
     pub(super) due: Option<Time>,
 }
 
 impl Outbox {
-    /// Adds capacity that is lent.
+    /// Adds capacity to lend.
     pub(super) fn lend(&mut self, to: Home, grant: Grant) {
         self.lend.entry(to).or_default().push(grant);
     }
 
-    /// Adds capacity that goes back to its keeper.
+    /// Adds borrowed capacity to return to its keeper.
     pub(super) fn add_back(&mut self, keeper: Home, grant: Grant) {
         self.give_back.entry(keeper).or_default().push(grant);
     }
 
-    /// Has it sent by `time` at the latest.
+    /// Ensures that the grants are sent by `time`.
     pub(super) fn flush_by(&mut self, time: Time) {
         self.due = Some(self.due.map_or(time, |due| due.min(time)));
     }
 }
 
-/// The accounts of one pool.
+/// The kept, lent and borrowed capacity of one pool.
 #[derive(Debug, Default)]
 pub(super) struct Share {
     pub(super) kept: FxHashMap<EndpointId, Kept>,
@@ -112,27 +112,27 @@
     pub(super) outbox: Outbox,
     /// Other live entries of the cluster.
     pub(super) neighbours: Vec<Home>,
-    /// Those of them that keep endpoints.
+    /// Those neighbours that keep endpoints.
     pub(super) lenders: Vec<Home>,
-    /// Live entries of other clusters with a link.
+    /// Live entries of data centres outside the cluster that have a link to this one.
     pub(super) distant: Vec<Home>,
-    /// Sum of the capacity that this entry may use.
+    /// Total capacity that this entry may use.
     pub(super) held: Resources,
-    /// Sum of the capacity of the cluster.
+    /// Total capacity of the cluster's endpoints that have a keeper and are not leaving.
     pub(super) local: Resources,
-    /// What `held` counts of each endpoint.
+    /// Part of `held` that each endpoint contributes.
     pub(super) usable_by_endpoint: FxHashMap<EndpointId, Resources>,
-    /// Capacity, in tasks, that is to go to neighbours as it becomes free. Set by each wish.
+    /// Capacity, in tasks, to lend to neighbours as it becomes free. Set by each capacity request.
     pub(super) owed: u32,
 }
 
 impl Share {
-    /// Endpoints that this entry may use now or used lately.
+    /// Returns the endpoints that this entry keeps or borrows.
     pub(super) fn endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.kept.keys().chain(self.borrowed.keys()).copied()
     }
 
-    /// What this entry may use of an endpoint.
+    /// Returns the capacity that this entry may use of an endpoint.
     pub(super) fn usable(&self, endpoint: EndpointId) -> Resources {
         match (self.kept.get(&endpoint), self.borrowed.get(&endpoint)) {
             (Some(kept), _) => kept.own(),
@@ -141,12 +141,12 @@
         }
     }
 
-    /// Forgets wishes that are too old or served.
+    /// Drops capacity requests that have expired or are satisfied.
     pub(super) fn expire_requests(&mut self, now: Time) {
         self.peer_requests.retain(|_, peer| peer.until > now && peer.request.tasks > 0);
     }
 
-    /// Notes that a wish was served in part.
+    /// Subtracts granted tasks from a capacity request.
     pub(super) fn record_served(&mut self, home: Home, tasks: u32) {
         if let Some(peer) = self.peer_requests.get_mut(&home) {
             peer.request.tasks = peer.request.tasks.saturating_sub(tasks);
@@ -154,8 +154,9 @@
         }
     }
 
-    /// Capacity, in tasks, that this entry should hold while others want some too: its part of
-    /// what all of them hold, by the weights of the firms and by each firm's jobs.
+    /// Returns the capacity, in tasks, that this entry should hold while others request some too:
+    /// its part of what all of them hold, by the weights of the firms and by the number of each
+    /// firm's jobs at each entry.
     pub(super) fn target(
         &self,
         held: u32,
--- a/components/dispatch/src/pool/timer.rs
+++ b/components/dispatch/src/pool/timer.rs
@@ -1,4 +1,4 @@
-//! What a pool does when time has passed.
+//! Handles the timers of a pool.
 
 use super::Pool;
 use crate::{Action, Decision, action::Cause};
@@ -9,12 +9,12 @@
 };
 use std::cmp::Reverse;
 
-/// Factor from which a slow endpoint gets a task only when waiting would take longer. Smaller ones
-/// are within what run times of 50 ms to 5 s show of an endpoint by chance.
+/// Minimum slowdown factor at which an endpoint gets a task only when waiting would take longer.
+/// Smaller factors are within the random variation that run times of 50 ms to 5 s show.
 const SLOW_FACTOR: f32 = 2.5;
 
 impl Pool {
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.release_holds(now);
         let mut changes = Vec::new();
@@ -25,7 +25,7 @@
         self.schedule(now, out);
     }
 
-    /// When [`Pool::tick`] is due next.
+    /// Returns when [`Pool::tick`] is due next.
     pub(crate) fn next_timer(&self) -> Time {
         let hold = self.holds.peek().map(|Reverse(hold)| hold.until);
         let outbox = self.share.outbox.due;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Carries a change of an endpoint's health over to its placement.
+    /// Applies a change of an endpoint's health to its placement and logs it.
     pub(super) fn apply_health(
         &mut self,
         now: Time,
--- a/components/dispatch/src/pool/trial.rs
+++ b/components/dispatch/src/pool/trial.rs
@@ -1,8 +1,8 @@
-//! Endpoints that are tried: suspected ones, and isolated ones that are probed.
+//! Sends trial tasks to suspected endpoints and to isolated ones that are probed.
 //!
-//! A trial may fail, and a failed task fails its job unless it may be repeated. So trials are made
-//! with repeatable single requests, and with other tasks only when none of those came for a while
-//! or when most endpoints are on trial.
+//! A trial may fail, and a failed task fails its job unless it may be repeated. So trials use
+//! repeatable single requests, and other tasks only when no such request has arrived for a while or
+//! when most endpoints are on trial.
 
 use super::{Pool, QueuedTask};
 use site::{
@@ -11,14 +11,15 @@
     unit::{Resources, Span, Time},
 };
 
-/// How long a trial waits for a repeatable request.
+/// Time for which a trial waits for a repeatable request before any task may be used.
 const TRIAL_WAIT: Span = Span::from_secs(10);
 
-/// Endpoints on trial that one task is offered to.
+/// Maximum number of endpoints on trial that are tried for one task.
 const MAX_TRIAL_ENDPOINTS: usize = 4;
 
 impl Pool {
-    /// Opens or closes an endpoint to work as its health and its leaving allow.
+    /// Opens or closes an endpoint for placement, depending on its health and on whether it is
+    /// leaving.
     pub(super) fn update_open(&mut self, now: Time, endpoint: EndpointId) {
         let usable = !self.is_leaving(endpoint) && self.health.is_open(endpoint);
         let state = self.health.state(endpoint);
@@ -32,19 +33,19 @@
         self.placement.set_open(endpoint, usable && !restricted);
     }
 
-    /// Whether an endpoint is leaving by its own answer, the platform's list or the settings.
+    /// Whether an endpoint is leaving by its own report, the platform's list or the settings.
     fn is_leaving(&self, endpoint: EndpointId) -> bool {
         self.reported_leaving.contains(&endpoint)
             || self.listed_leaving.contains(&endpoint)
             || self.index.endpoints.get(&endpoint).is_none_or(|resolved| resolved.leaving)
     }
 
-    /// Whether so many endpoints are on trial that the cause is likely elsewhere.
+    /// Whether so many endpoints are on trial that the fault is probably not theirs.
     fn is_mostly_on_trial(&self) -> bool {
         self.trials.len() * 2 > self.share.usable_by_endpoint.len()
     }
 
-    /// An endpoint on trial for this task, its resources taken.
+    /// Chooses an endpoint on trial for this task and reserves its resources.
     pub(super) fn choose_trial(
         &mut self,
         now: Time,
--- a/components/dispatch/src/retry.rs
+++ b/components/dispatch/src/retry.rs
@@ -1,11 +1,12 @@
-//! Whether an ended attempt is answered, repeated or given up: the one place that decides it.
+//! Decides whether a task is answered, retried or given up after an attempt has ended. No other
+//! module decides this.
 //!
 //! | reply | job | single, repeatable | single, not repeatable |
 //! |---|---|---|---|
 //! | done | answer | answer | answer |
-//! | refused, not sent | again | again | again |
-//! | failed | ran and failed | again | ran and failed |
-//! | lost | may have run | again | may have run |
+//! | refused, not sent | retry | retry | retry |
+//! | failed | ran and failed | retry | ran and failed |
+//! | lost | may have run | retry | may have run |
 //! | silent | may have run | may have run | may have run |
 //! | timed out | may have run | may have run | may have run |
 
@@ -16,20 +17,20 @@
     submission::{Kind, Outcome, Reason, Submission},
 };
 
-/// What follows an attempt.
+/// What follows an ended attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Verdict {
-    /// Its output is the task's.
+    /// The attempt's output is the task's output.
     Answer,
-    /// Another attempt is allowed, since this one did not run.
+    /// A retry is allowed, since this attempt did not run.
     RetryNotRun,
-    /// Another attempt is allowed, since the task is repeatable. Costs budget.
+    /// A retry is allowed, since the task is repeatable. It costs retry budget.
     RetryRepeatable,
     /// The submission fails.
     GiveUp(Outcome, Reason),
 }
 
-/// Judges an ended attempt by its reply alone.
+/// Returns what follows an ended attempt, by its reply alone.
 pub(crate) fn judge(reply: &Reply, submission: &Submission) -> Verdict {
     let may_repeat = submission.kind == Kind::Single && submission.repeatable;
     match reply {
@@ -42,7 +43,7 @@
     }
 }
 
-/// What follows when a further attempt is allowed but not made.
+/// Returns the failure to report when a retry is allowed but not made.
 pub(crate) fn give_up(reply: &Reply) -> (Outcome, Reason) {
     match reply {
         Reply::Refused(_) | Reply::NotSent => (Outcome::NotRun, Reason::NoEndpoint),
@@ -51,24 +52,25 @@
     }
 }
 
-/// Attempts that one task may make, refused ones included.
+/// Maximum number of attempts of one task, including refused ones.
 pub(crate) const MAX_ATTEMPTS: u8 = 32;
 
-/// Budget that a first attempt earns, in thousandths of a repeat.
+/// Budget that a first attempt earns, in thousandths of a retry.
 const EARNED_MILLIRETRIES: u32 = 100;
 
-/// Most budget that is saved up, in thousandths of a repeat.
+/// Maximum budget that a firm can save, in thousandths of a retry.
 const MAX_SAVED_MILLIRETRIES: u32 = 10_000;
 
-/// Repeats that each firm may make: one for ten first attempts, and ten saved up.
+/// Retry budget of each firm: one retry for ten first attempts, and up to ten saved.
 #[derive(Debug, Default)]
 pub(crate) struct Budget {
-    /// Thousandths of a repeat left; a firm that is absent has [`SAVED`].
+    /// Remaining budget, in thousandths of a retry; a firm that is absent has
+    /// [`MAX_SAVED_MILLIRETRIES`].
     left: FxHashMap<FirmId, u32>,
 }
 
 impl Budget {
-    /// Notes a first attempt.
+    /// Adds the budget that a first attempt earns.
     pub(crate) fn earn(&mut self, firm: FirmId) {
         let Some(left) = self.left.get_mut(&firm) else {
             return;
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes one repeat, if there is one.
+    /// Takes one retry from the budget. Returns whether there was one.
     pub(crate) fn spend(&mut self, firm: FirmId) -> bool {
         let left = self.left.entry(firm).or_insert(MAX_SAVED_MILLIRETRIES);
         match left.checked_sub(1_000) {
