--- a/components/dispatch/src/entry/keyed.rs
+++ b/components/dispatch/src/entry/keyed.rs
@@ -1,11 +1,11 @@
-//! Submissions under a caller's own key. Which identifier a key stands for is agreed on through
-//! the platform's key-value service.
+//! Handles submissions under a caller's idempotency key. The platform's key-value service decides
+//! which submission identifier a key stands for (key claim).
 
 use super::{
     Entry,
     submit::{may_have_run, not_run},
 };
-use crate::{Action, event::Claim};
+use crate::{Action, event::ClaimResult};
 use compact_str::CompactString;
 use ledger::Waiter;
 use rustc_hash::FxHashMap;
@@ -16,30 +16,31 @@
 };
 use std::sync::Arc;
 
-/// When a caller may come back while the platform's service is out.
+/// Retry delay sent to a caller while the platform's key-value service is unavailable.
 const PLATFORM_RETRY_AFTER: Span = Span::from_secs(2);
 
-/// Longest wait for a claim.
-const CLAIM_LIMIT: Span = Span::from_secs(2);
+/// Maximum time to wait for a key claim.
+const CLAIM_TIME_LIMIT: Span = Span::from_secs(2);
 
 /// A keyed submission that has no answer yet.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct KeyedSubmission {
     key: CompactString,
     first: bool,
     submission: Arc<Submission>,
     deadline: Time,
-    /// The identifier that the key turned out to stand for, when another request had claimed it.
+    /// Identifier that the key stands for, if another request had claimed the key before.
     taken: Option<SubmissionId>,
-    /// Whether the claim was already replaced once for this request.
+    /// Whether the claim has already been replaced once for this request.
     replaced: bool,
 }
 
 /// All keyed submissions without an answer, by caller.
-pub(super) type Claims = FxHashMap<WaiterId, Pending>;
+pub(super) type Claims = FxHashMap<WaiterId, KeyedSubmission>;
 
 impl Entry {
-    /// Finds out what the key stands for, and submits under that.
+    /// Claims the key, so that the submission can be admitted under the identifier that the key
+    /// stands for.
     pub(super) fn submit_keyed(
         &self,
         now: Time,
@@ -50,14 +51,15 @@
         out: &mut Vec<Action>,
     ) {
         let deadline = now + submission.deadline;
-        let pending = Pending { key, first, submission, deadline, taken: None, replaced: false };
+        let pending =
+            KeyedSubmission { key, first, submission, deadline, taken: None, replaced: false };
         self.claim(waiter, pending, None, out);
     }
 
     fn claim(
         &self,
         waiter: WaiterId,
-        pending: Pending,
+        pending: KeyedSubmission,
         replaces: Option<SubmissionId>,
         out: &mut Vec<Action>,
     ) {
@@ -68,17 +70,17 @@
             key: pending.key.clone(),
             id: submission.id,
             replaces,
-            time_limit: submission.deadline.min(CLAIM_LIMIT),
+            time_limit: submission.deadline.min(CLAIM_TIME_LIMIT),
         });
         self.claims.lock().insert(waiter, pending);
     }
 
-    /// Takes notice of what a key stands for.
+    /// Handles the result of a key claim.
     pub(super) fn claimed(
         &self,
         now: Time,
         waiter: WaiterId,
-        result: Claim,
+        result: ClaimResult,
         out: &mut Vec<Action>,
     ) {
         let Some(mut pending) = self.claims.lock().remove(&waiter) else {
@@ -88,12 +90,12 @@
         let submission = Arc::make_mut(&mut pending.submission);
         submission.deadline = left;
         match result {
-            Claim::Won(id) => submission.id = id,
-            Claim::Taken(id) => {
+            ClaimResult::Won(id) => submission.id = id,
+            ClaimResult::Taken(id) => {
                 pending.taken = Some(id);
                 submission.id = id;
             }
-            Claim::Out => return self.refuse_unclaimed(now, waiter, &pending, out),
+            ClaimResult::Unavailable => return self.reject_unclaimed(now, waiter, &pending, out),
         }
         let submission = pending.submission.clone();
         if pending.taken.is_some() {
@@ -102,12 +104,13 @@
         self.submit(now, Waiter::Caller(waiter), submission, out);
     }
 
-    /// Nothing was admitted here; whether the key was used before is not known.
-    fn refuse_unclaimed(
+    /// Rejects a submission whose key claim failed. Nothing was admitted here. The submission may
+    /// have run before, unless the caller says that the key is new.
+    fn reject_unclaimed(
         &self,
         now: Time,
         waiter: WaiterId,
-        pending: &Pending,
+        pending: &KeyedSubmission,
         out: &mut Vec<Action>,
     ) {
         let failure = match pending.first {
@@ -115,11 +118,11 @@
             false => may_have_run(Reason::PlatformOut, Some(PLATFORM_RETRY_AFTER)),
         };
         let submission = &pending.submission;
-        self.refuse(now, Waiter::Caller(waiter), submission.id, submission.firm, failure, out);
+        self.reject(now, Waiter::Caller(waiter), submission.id, submission.firm, failure, out);
     }
 
-    /// Gives a caller its answer, unless its key stands for a submission that was refused for
-    /// good: then the key is claimed for a fresh one.
+    /// Sends a caller its answer. If its key stands for a submission that was rejected for good,
+    /// the key is claimed for a fresh identifier instead.
     pub(super) fn answer_caller(
         &self,
         now: Time,
@@ -129,8 +132,9 @@
         out: &mut Vec<Action>,
     ) {
         let pending = self.claims.lock().remove(&waiter);
-        let refused = pending.filter(|p| p.taken == Some(id) && !p.replaced && is_refused(&answer));
-        let Some(mut pending) = refused.filter(|p| p.deadline > now) else {
+        let rejected =
+            pending.filter(|p| p.taken == Some(id) && !p.replaced && is_rejected(&answer));
+        let Some(mut pending) = rejected.filter(|p| p.deadline > now) else {
             return out.push(Action::Answer { waiter, id, answer });
         };
         pending.replaced = true;
@@ -142,7 +146,7 @@
         self.claim(waiter, pending, Some(id), out);
     }
 
-    /// An identifier's unique part that follows from `id` and this process; no two refused
+    /// Returns a unique part for an identifier, derived from `id` and this process. No two rejected
     /// submissions share one.
     fn unique(&self, id: SubmissionId) -> uuid::Uuid {
         let (high, low) = id.unique.as_u64_pair();
@@ -151,7 +155,7 @@
     }
 }
 
-fn is_refused(answer: &Answer) -> bool {
+fn is_rejected(answer: &Answer) -> bool {
     let Answer::Failed(Failure { outcome: Outcome::NotRun, reason, .. }) = answer else {
         return false;
     };
--- a/components/dispatch/src/entry/pools.rs
+++ b/components/dispatch/src/entry/pools.rs
@@ -1,11 +1,11 @@
-//! The pools of an entry, and what concerns them alone.
+//! Keeps the pools of an entry and passes events on to them.
 
 use super::Entry;
 use crate::{
     Action, Message,
     event::Report,
     index::Index,
-    pool::{Ended, Pool, pool_number},
+    pool::{Effect, Pool, pool_number},
 };
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
@@ -16,7 +16,7 @@
 };
 use std::sync::Arc;
 
-/// All pools. A pool is never removed, so that its attempts find it.
+/// All pools. A pool is never removed, so that reports of its attempts still find it.
 #[derive(Default)]
 pub(super) struct Pools {
     list: Vec<Arc<Mutex<Pool>>>,
@@ -24,7 +24,7 @@
 }
 
 impl Pools {
-    /// Every pool.
+    /// Returns all pools.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Arc<Mutex<Pool>>> {
         self.list.iter()
     }
@@ -39,18 +39,18 @@
 }
 
 impl Entry {
-    /// The pool that runs a service.
+    /// Returns the pool that runs a service.
     pub(super) fn pool_of(&self, service: ServiceId) -> Option<Arc<Mutex<Pool>>> {
         let key = self.index.read().pool(service)?;
         self.pools.read().by_key.get(&key).cloned()
     }
 
-    /// Every pool.
+    /// Returns all pools.
     pub(super) fn all_pools(&self) -> Vec<Arc<Mutex<Pool>>> {
         self.pools.read().iter().cloned().collect()
     }
 
-    /// Takes over accepted settings, unless they are older than those in force.
+    /// Applies accepted settings, unless they are older than those in force.
     pub(super) fn configure(
         &self,
         now: Time,
@@ -58,7 +58,7 @@
         site: Arc<Site>,
         out: &mut Vec<Action>,
     ) {
-        let reshaping = self.reshaping.lock();
+        let reconfiguring = self.reconfiguring.lock();
         let index =
             Arc::new(Index::new(site, revision, self.home.data_centre, self.slots_per_lead));
         {
@@ -79,34 +79,34 @@
         for pool in self.all_pools() {
             pool.lock().configure(index.clone());
         }
-        drop(reshaping);
-        self.rekey(now, out);
+        drop(reconfiguring);
+        self.update_members(now, out);
     }
 
-    /// Takes notice of the end of an attempt.
+    /// Handles the report of an ended attempt.
     pub(super) fn report(&self, now: Time, report: Report, out: &mut Vec<Action>) {
         let number = usize::from(pool_number(report.attempt));
         let Some(pool) = self.pools.read().list.get(number).cloned() else {
             return;
         };
-        let ended = {
+        let effect = {
             let mut pool = pool.lock();
-            let ended = pool.report(now, report, out);
-            self.arm(pool.next_timer());
-            ended
+            let effect = pool.report(now, report, out);
+            self.schedule_tick(pool.next_timer());
+            effect
         };
-        match ended {
-            Ended::Output(job, index, output) => {
+        match effect {
+            Effect::Output(job, index, output) => {
                 let id = job.submission.id;
                 let finish = self.shard(id).lock().store(id, index, output);
                 self.deliver(now, id, finish, out);
             }
-            Ended::Failed(job, failure) => self.fail(now, &job, failure, out),
-            Ended::Nothing => {}
+            Effect::Failed(job, failure) => self.fail(now, &job, failure, out),
+            Effect::None => {}
         }
     }
 
-    /// Takes notice of what a running attempt occupies.
+    /// Records the resources that a worker measured for a running attempt.
     pub(super) fn measure(&self, attempt: AttemptId, measured: Resources) {
         let number = usize::from(pool_number(attempt));
         let pool = self.pools.read().list.get(number).cloned();
@@ -115,12 +115,18 @@
         }
     }
 
-    /// Takes notice of a message about shared capacity.
-    pub(super) fn share(&self, now: Time, from: Home, message: Message, out: &mut Vec<Action>) {
+    /// Handles a message about capacity that entries lend each other.
+    pub(super) fn handle_capacity_message(
+        &self,
+        now: Time,
+        from: Home,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         let key = match &message {
-            Message::Want(want) => want.service,
+            Message::CapacityRequest(want) => want.service,
             Message::Lend(lend) => lend.service,
-            Message::Return(back) | Message::Holding(back) => back.service,
+            Message::Return(back) | Message::InUse(back) => back.service,
             Message::Usage(usage) => usage.service,
             _ => return,
         };
@@ -129,13 +135,13 @@
         };
         let mut pool = pool.lock();
         match message {
-            Message::Want(want) => pool.hear(now, from, want, out),
+            Message::CapacityRequest(want) => pool.receive_request(now, from, want, out),
             Message::Lend(lend) => pool.borrow(now, from, lend, out),
-            Message::Return(back) => pool.take_back(now, from, &back.grants, out),
-            Message::Holding(back) => pool.acknowledge(now, from, &back.grants, out),
-            Message::Usage(usage) => pool.hear_usage(now, from, &usage, out),
+            Message::Return(back) => pool.reclaim(now, from, &back.grants, out),
+            Message::InUse(back) => pool.record_lent(now, from, &back.grants, out),
+            Message::Usage(usage) => pool.receive_usage(now, from, &usage, out),
             _ => {}
         }
-        self.arm(pool.next_timer());
+        self.schedule_tick(pool.next_timer());
     }
 }
--- a/components/dispatch/src/entry/route.rs
+++ b/components/dispatch/src/entry/route.rs
@@ -1,12 +1,12 @@
-//! Requests for submissions whose home is another entry.
+//! Routes requests for submissions whose home is another entry.
 
 use super::{
     Entry,
-    ask::{Ask, GRACE, Route},
-    drain::Whereabouts,
+    drain::TableLocation,
+    forwarded::{ANSWER_GRACE, Call, ForwardedRequest},
     submit::{may_have_run, not_run},
 };
-use crate::{Action, Decision, action::Status, message::Request};
+use crate::{Action, Decision, action::Status, message::RequestId};
 use ledger::{Lookup, Waiter};
 use site::{
     id::{EndpointId, Home, SubmissionId, WaiterId},
@@ -15,100 +15,105 @@
 };
 use std::sync::Arc;
 
-/// When a caller may come back while a home can't be reached.
+/// Retry delay sent to a caller while a home can't be reached.
 const UNREACHABLE_RETRY_AFTER: Span = Span::from_secs(1);
 
 impl Entry {
-    /// Sends a request on to where its submission is known, or answers that it can't.
-    /// The request is given up at `deadline`.
+    /// Forwards a request to the entry that holds its submission, or answers it with a failure. The
+    /// request is given up at `deadline`.
     pub(super) fn route(
         &self,
         now: Time,
         waiter: Waiter,
-        ask: Ask,
+        call: Call,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
-        match (self.whereabouts(now, id.home()), waiter) {
-            (Whereabouts::Here, _) => self.ask_adopted(now, waiter, &ask, deadline, out),
-            (Whereabouts::At(to), Waiter::Caller(caller)) => {
-                self.forward(now, caller, ask, to, deadline, out);
+        let id = call.id();
+        match (self.locate_table(now, id.home()), waiter) {
+            (TableLocation::Local, _) => {
+                self.answer_from_held_table(now, waiter, &call, deadline, out)
             }
-            // A peer that sends it on to an entry which is not its home takes the home for gone.
-            // An entry that just started can't know yet, and refused 24 of 24 of these.
-            (Whereabouts::Unreachable, Waiter::Peer { .. }) if ask.may_move() => {
-                self.route_gone(now, waiter, ask, deadline, out);
+            (TableLocation::Remote(to), Waiter::Caller(caller)) => {
+                self.forward(now, caller, call, to, deadline, out);
             }
-            // A request is sent on once only.
-            (Whereabouts::At(_) | Whereabouts::Unreachable, _) => {
+            // A peer that forwards a request to an entry which is not its home considers the home
+            // gone. An entry that has just started can't know that yet; without this case it
+            // rejected 24 of 24 such requests.
+            (TableLocation::Unreachable, Waiter::Peer { .. }) if call.may_run_elsewhere() => {
+                self.route_without_home(now, waiter, call, deadline, out);
+            }
+            // A request is forwarded only once.
+            (TableLocation::Remote(_) | TableLocation::Unreachable, _) => {
                 let failure = may_have_run(Reason::HomeUnreachable, Some(UNREACHABLE_RETRY_AFTER));
-                self.decline(now, waiter, &ask, failure, out);
+                self.decline(now, waiter, &call, failure, out);
             }
-            (Whereabouts::Gone, _) => self.route_gone(now, waiter, ask, deadline, out),
+            (TableLocation::Gone, _) => self.route_without_home(now, waiter, call, deadline, out),
         }
     }
 
     /// Answers from the table that this entry took over from the submission's home.
-    fn ask_adopted(
+    fn answer_from_held_table(
         &self,
         now: Time,
         waiter: Waiter,
-        ask: &Ask,
+        call: &Call,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
-        if let Ask::Submit(submission) = ask {
+        let id = call.id();
+        if let Call::Submit(submission) = call {
             let known = self.shard(id).lock().find(submission, waiter, deadline);
             match known {
                 Some(known) => self.answer_known(now, waiter, submission, known, out),
-                // Another may have run it before this entry was known to keep the table.
-                None if ask.may_move() => self.admit_foreign(now, waiter, submission, out),
-                None => self.decline(now, waiter, ask, self.never_admitted(id), out),
+                // Another entry may have run it before this entry was known to hold the table.
+                None if call.may_run_elsewhere() => {
+                    self.admit_foreign(now, waiter, submission, out)
+                }
+                None => self.decline(now, waiter, call, self.never_admitted(id), out),
             }
             return;
         }
-        let found = self.shard(id).lock().lookup(id, ask.firm(), None);
+        let found = self.shard(id).lock().lookup(id, call.firm(), None);
         match found {
             Lookup::Finished(answer) => self.answer(now, waiter, id, answer, out),
             Lookup::Unknown | Lookup::Open(_) => {
-                self.decline(now, waiter, ask, self.never_admitted(id), out);
+                self.decline(now, waiter, call, self.never_admitted(id), out);
             }
         }
     }
 
-    /// What is known of an identifier that is not in the whole table of its home.
+    /// Returns the failure for an identifier that is absent from its home's complete table.
     fn never_admitted(&self, id: SubmissionId) -> Failure {
-        match self.moves.lock().is_forgotten(id.token) {
+        match self.handovers.lock().is_forgotten(id.token) {
             true => ledger::table::expired(),
             false => not_run(Reason::HomeGone, None),
         }
     }
 
     /// Handles a request whose home is gone without a successor.
-    fn route_gone(
+    fn route_without_home(
         &self,
         now: Time,
         waiter: Waiter,
-        ask: Ask,
+        call: Call,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
+        let id = call.id();
         let gone = may_have_run(Reason::HomeGone, None);
-        let Ask::Submit(submission) = &ask else {
-            return self.decline(now, waiter, &ask, gone, out);
+        let Call::Submit(submission) = &call else {
+            return self.decline(now, waiter, &call, gone, out);
         };
-        if !ask.may_move() {
-            return self.decline(now, waiter, &ask, gone, out);
+        if !call.may_run_elsewhere() {
+            return self.decline(now, waiter, &call, gone, out);
         }
         let (high, low) = id.unique.as_u64_pair();
-        let place = EndpointId(high ^ low);
-        let runner = self.runner(place);
-        match (runner, waiter) {
+        let hash_key = EndpointId(high ^ low);
+        let substitute = self.substitute_for(hash_key);
+        match (substitute, waiter) {
             (Some(to), Waiter::Caller(caller)) if to != self.home => {
-                self.forward(now, caller, ask, to, deadline, out);
+                self.forward(now, caller, call, to, deadline, out);
             }
             _ => self.admit_foreign(now, waiter, submission, out),
         }
@@ -130,17 +135,17 @@
         &self,
         now: Time,
         waiter: WaiterId,
-        ask: Ask,
+        call: Call,
         to: Home,
         deadline: Time,
         out: &mut Vec<Action>,
     ) {
-        let id = ask.id();
-        let route = Route { waiter, ask, to, deadline };
-        let request = self.routes.lock().add(route.clone());
-        self.arm(deadline);
+        let id = call.id();
+        let pending = ForwardedRequest { waiter, call, to, deadline };
+        let request = self.forwarded.lock().add(pending.clone());
+        self.schedule_tick(deadline);
         out.push(Action::Log(Decision::Forward { id, to }));
-        let message = route.ask.message(request, deadline.since(now) - GRACE);
+        let message = pending.call.message(request, deadline.since(now) - ANSWER_GRACE);
         out.push(Action::Send { to, message });
     }
 
@@ -148,67 +153,67 @@
         &self,
         now: Time,
         waiter: Waiter,
-        ask: &Ask,
+        call: &Call,
         failure: Failure,
         out: &mut Vec<Action>,
     ) {
-        match ask {
-            Ask::Query { .. } => self.tell(waiter, None, out),
-            _ => self.refuse(now, waiter, ask.id(), ask.firm(), failure, out),
+        match call {
+            Call::Query { .. } => self.send_status(waiter, None, out),
+            _ => self.reject(now, waiter, call.id(), call.firm(), failure, out),
         }
     }
 
     /// Passes a home's answer on to the caller.
-    pub(super) fn answered(
+    pub(super) fn receive_answer(
         &self,
         now: Time,
-        request: Request,
+        request: RequestId,
         answer: Arc<Answer>,
         out: &mut Vec<Action>,
     ) {
-        let route = self.routes.lock().remove(request);
-        if let Some(route) = route {
-            self.answer(now, Waiter::Caller(route.waiter), route.ask.id(), answer, out);
-            self.drain_on(now, out);
+        let pending = self.forwarded.lock().remove(request);
+        if let Some(pending) = pending {
+            self.answer(now, Waiter::Caller(pending.waiter), pending.call.id(), answer, out);
+            self.continue_drain(now, out);
         }
     }
 
     /// Passes a home's status on to the caller.
-    pub(super) fn progressed(
+    pub(super) fn receive_progress(
         &self,
-        request: Request,
+        request: RequestId,
         status: Option<Status>,
         out: &mut Vec<Action>,
     ) {
-        let route = self.routes.lock().remove(request);
-        if let Some(route) = route {
-            self.tell(Waiter::Caller(route.waiter), status, out);
+        let pending = self.forwarded.lock().remove(request);
+        if let Some(pending) = pending {
+            self.send_status(Waiter::Caller(pending.waiter), status, out);
         }
     }
 
-    /// Sends everything again that a home may not have got, or sends it elsewhere when the home is
-    /// gone.
+    /// Routes all open requests of a home again: to the same home, which may not have received
+    /// them, or elsewhere if the home is gone.
     pub(super) fn reroute(&self, now: Time, home: Home, out: &mut Vec<Action>) {
-        let routes = self.routes.lock().take_home(home);
-        for mut route in routes {
-            if let Ask::Submit(submission) = &mut route.ask {
-                Arc::make_mut(submission).deadline = route.deadline.since(now) - GRACE;
+        let forwarded = self.forwarded.lock().take_home(home);
+        for mut pending in forwarded {
+            if let Call::Submit(submission) = &mut pending.call {
+                Arc::make_mut(submission).deadline = pending.deadline.since(now) - ANSWER_GRACE;
             }
-            self.route(now, Waiter::Caller(route.waiter), route.ask, route.deadline, out);
+            self.route(now, Waiter::Caller(pending.waiter), pending.call, pending.deadline, out);
         }
     }
 
-    /// Homes that requests wait for.
-    pub(super) fn routed_homes(&self) -> Vec<Home> {
-        self.routes.lock().by_home.keys().copied().collect()
+    /// Returns the homes that open requests were forwarded to.
+    pub(super) fn forwarded_homes(&self) -> Vec<Home> {
+        self.forwarded.lock().by_home.keys().copied().collect()
     }
 
-    /// Gives up what no home answered in time.
-    pub(super) fn expire_routes(&self, now: Time, out: &mut Vec<Action>) {
-        let due = self.routes.lock().take_due(now);
-        for route in due {
+    /// Gives up forwarded requests that were not answered by their deadline.
+    pub(super) fn expire_forwarded(&self, now: Time, out: &mut Vec<Action>) {
+        let due = self.forwarded.lock().take_due(now);
+        for pending in due {
             let failure = may_have_run(Reason::Deadline, None);
-            self.decline(now, Waiter::Caller(route.waiter), &route.ask, failure, out);
+            self.decline(now, Waiter::Caller(pending.waiter), &pending.call, failure, out);
         }
     }
 }
--- a/components/dispatch/src/entry/timer.rs
+++ b/components/dispatch/src/entry/timer.rs
@@ -1,4 +1,4 @@
-//! What an entry does when time has passed.
+//! Handles the timers of an entry.
 
 use super::{EPOCH, EPOCHS, Entry, submit::may_have_run};
 use crate::Action;
@@ -8,38 +8,38 @@
 };
 use std::sync::{Arc, atomic::Ordering};
 
-/// A tick is due at least this often.
-const MAX_IDLE: Span = Span::from_secs(1);
+/// Maximum interval between ticks.
+const MAX_TICK_INTERVAL: Span = Span::from_secs(1);
 
 impl Entry {
-    /// Does everything that is due, and sets the next time.
+    /// Handles all timers that are due, and schedules the next tick.
     pub(super) fn tick(&self, now: Time, out: &mut Vec<Action>) {
-        self.timer.store((now + MAX_IDLE).0, Ordering::Relaxed);
+        self.next_tick.store((now + MAX_TICK_INTERVAL).0, Ordering::Relaxed);
         self.advance_epoch(now);
-        self.end_due(now, out);
-        self.expire_routes(now, out);
+        self.expire_submissions(now, out);
+        self.expire_forwarded(now, out);
         let changed = self.members.lock().tick(now);
-        self.after_change(now, changed, out);
-        self.beat(now, out);
+        self.apply_changes(now, changed, out);
+        self.send_heartbeats(now, out);
         for pool in self.all_pools() {
             let mut pool = pool.lock();
             pool.tick(now, out);
-            self.arm(pool.next_timer());
+            self.schedule_tick(pool.next_timer());
         }
-        self.forget_old(now);
-        self.drain_on(now, out);
-        self.arm_all();
+        self.forget_old_tables(now);
+        self.continue_drain(now, out);
+        self.schedule_next_tick();
     }
 
     /// Ends the submissions whose deadline has passed.
-    fn end_due(&self, now: Time, out: &mut Vec<Action>) {
+    fn expire_submissions(&self, now: Time, out: &mut Vec<Action>) {
         for shard in &self.shards {
             let (due, waiters) = {
                 let mut shard = shard.lock();
                 (shard.due(now), shard.due_waiters(now))
             };
             for job in due {
-                self.end(now, &job, Reason::Deadline, out);
+                self.end_job(now, &job, Reason::Deadline, out);
             }
             for (id, waiter) in waiters {
                 let failure = may_have_run(Reason::Deadline, None);
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Counts epochs by this process's clock and forgets those that are no longer accepted.
+    /// Advances the epoch by this process's clock and drops submissions of epochs that are no
+    /// longer accepted.
     fn advance_epoch(&self, now: Time) {
         let epoch = (now.0 / EPOCH.0) as u32;
         let before = self.epoch.fetch_max(epoch, Ordering::Relaxed);
@@ -61,16 +62,16 @@
         }
     }
 
-    /// The first epoch that is still accepted.
+    /// Returns the first epoch that is still accepted.
     pub(super) fn first_epoch(&self) -> u32 {
         (self.epoch.load(Ordering::Relaxed) + 1).saturating_sub(EPOCHS)
     }
 
-    fn arm_all(&self) {
+    fn schedule_next_tick(&self) {
         for shard in &self.shards {
-            self.arm(shard.lock().next_deadline());
+            self.schedule_tick(shard.lock().next_deadline());
         }
-        self.arm(self.routes.lock().next_deadline());
-        self.arm_members();
+        self.schedule_tick(self.forwarded.lock().next_deadline());
+        self.schedule_member_tick();
     }
 }
--- a/components/dispatch/src/index.rs
+++ b/components/dispatch/src/index.rs
@@ -1,4 +1,4 @@
-//! The site as the decisions look it up.
+//! Indexes the settings of a site for the lookups of the decision logic.
 
 use compact_str::CompactString;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -12,61 +12,61 @@
 };
 use std::{net::SocketAddr, sync::Arc};
 
-/// Names the pool that all worker services share.
-pub(crate) const WORKERS: ServiceId = ServiceId(0);
+/// Identifier of the pool that all worker services share.
+pub(crate) const WORKER_POOL: ServiceId = ServiceId(0);
 
-/// Most tasks of one worker; its other resources are exhausted long before.
+/// Slots of each worker. A worker's other resources are exhausted long before.
 const WORKER_SLOTS: Slots = Slots(1_000);
 
-/// Data centres with links up to this latency form one cluster: a task there costs its way, and
-/// asking another entry for capacity costs more.
-const CLUSTER_LATENCY: Span = Span::from_millis(2);
+/// Maximum link latency within a cluster. Placing a task in another data centre then costs only the
+/// latency, which is less than requesting capacity from another entry.
+const MAX_CLUSTER_LATENCY: Span = Span::from_millis(2);
 
-/// Processor capacity, in cores, that counts as a slot.
+/// Number of processor cores of a worker that count as one slot.
 const CORES_PER_SLOT: u32 = 1;
 
-/// An endpoint, resolved.
+/// An endpoint with the settings of its service, location and capacity resolved.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spot {
-    /// The pool it belongs to.
+pub(crate) struct ResolvedEndpoint {
+    /// Pool that it belongs to.
     pub(crate) pool: ServiceId,
-    /// Where it stands.
+    /// Data centre that it is in.
     pub(crate) data_centre: DataCentreId,
-    /// Its rack; zero for executors.
+    /// Rack; zero for executors.
     pub(crate) rack: RackId,
-    /// All that it offers.
+    /// Total capacity.
     pub(crate) capacity: Resources,
-    /// Gets no new work.
+    /// Whether it is leaving and gets no new work.
     pub(crate) leaving: bool,
 }
 
-/// The site, indexed by what decisions ask for.
+/// A site, indexed for the lookups of the decision logic.
 #[derive(Debug)]
 pub(crate) struct Index {
-    /// What is indexed.
+    /// The indexed settings.
     pub(crate) site: Arc<Site>,
-    /// Its version.
+    /// Revision of the settings.
     pub(crate) revision: Revision,
-    /// Every endpoint.
-    pub(crate) endpoints: FxHashMap<EndpointId, Spot>,
-    /// Different capacities that occur in each pool; few.
-    shapes: FxHashMap<ServiceId, Vec<Resources>>,
+    /// All endpoints.
+    pub(crate) endpoints: FxHashMap<EndpointId, ResolvedEndpoint>,
+    /// Distinct endpoint capacities in each pool; there are few.
+    capacities: FxHashMap<ServiceId, Vec<Resources>>,
     /// Endpoints of each pool.
     pub(crate) pools: FxHashMap<ServiceId, Vec<EndpointId>>,
-    /// Quota of each contract.
+    /// Quota of each contract; `None` without a limit.
     contracts: FxHashMap<(FirmId, ServiceId), Option<Slots>>,
     /// Crews of each firm.
     crews: FxHashSet<(FirmId, CrewId)>,
-    /// One-way latency from the own data centre.
+    /// One-way latency from the own data centre; data centres without a link are absent.
     latency: FxHashMap<DataCentreId, Span>,
-    /// The own data centre and those near it, sorted. All of them agree on it.
+    /// The own data centre and those near it, sorted. All of them compute the same list.
     pub(crate) cluster: Vec<DataCentreId>,
-    /// Entries that place tasks in the cluster, if there are as many.
-    pub(crate) leads: usize,
+    /// Number of lead entries in the cluster, if it has that many entries.
+    pub(crate) lead_count: usize,
 }
 
 impl Index {
-    /// Indexes a site as seen from `own`.
+    /// Indexes a site as seen from the data centre `own`.
     pub(crate) fn new(
         site: Arc<Site>,
         revision: Revision,
@@ -78,12 +78,12 @@
         for service in site.services.values() {
             pools.entry(pool_of(service)).or_default();
         }
-        let mut shapes: FxHashMap<ServiceId, Vec<Resources>> = FxHashMap::default();
-        for (id, spot) in &endpoints {
-            pools.entry(spot.pool).or_default().push(*id);
-            let known = shapes.entry(spot.pool).or_default();
-            if !known.contains(&spot.capacity) {
-                known.push(spot.capacity);
+        let mut capacities: FxHashMap<ServiceId, Vec<Resources>> = FxHashMap::default();
+        for (id, resolved) in &endpoints {
+            pools.entry(resolved.pool).or_default().push(*id);
+            let known = capacities.entry(resolved.pool).or_default();
+            if !known.contains(&resolved.capacity) {
+                known.push(resolved.capacity);
             }
         }
         let contracts = site
@@ -102,65 +102,66 @@
             .filter_map(|dc| Some((*dc, site.latency(own, *dc)?)))
             .collect();
         let cluster = cluster(&site, own);
-        let leads = leads(&endpoints, &cluster, slots_per_lead);
+        let lead_count = lead_count(&endpoints, &cluster, slots_per_lead);
         Index {
             site,
             revision,
             endpoints,
-            shapes,
+            capacities,
             pools,
             contracts,
             crews,
             latency,
             cluster,
-            leads,
+            lead_count,
         }
     }
 
-    /// The pool that runs a service.
+    /// Returns the pool that runs a service; `None` when the settings don't contain it.
     pub(crate) fn pool(&self, service: ServiceId) -> Option<ServiceId> {
         self.site.services.get(&service).map(pool_of)
     }
 
-    /// Where an endpoint accepts connections.
+    /// Returns the address on which an endpoint accepts connections.
     pub(crate) fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         let executor = self.site.executors.get(&id).map(|executor| executor.address);
         executor.or_else(|| self.site.workers.get(&id).map(|worker| worker.address))
     }
 
-    /// The name of an endpoint.
+    /// Returns the name of an endpoint; empty when the settings don't contain it.
     pub(crate) fn name(&self, id: EndpointId) -> CompactString {
         let executor = self.site.executors.get(&id).map(|executor| executor.name.clone());
         let worker = || self.site.workers.get(&id).map(|worker| worker.name.clone());
         executor.or_else(worker).unwrap_or_default()
     }
 
-    /// Whether some endpoint of a pool could hold a task when empty.
+    /// Returns whether some empty endpoint of a pool could hold a task with these `needs`.
     pub(crate) fn could_fit(&self, pool: ServiceId, needs: &Resources) -> bool {
-        self.shapes.get(&pool).into_iter().flatten().any(|shape| shape.fits(needs))
+        self.capacities.get(&pool).into_iter().flatten().any(|capacity| capacity.fits(needs))
     }
 
-    /// The trade that decisions follow.
+    /// Returns the policy's preference between response time and messages.
     pub(crate) fn priority(&self) -> Priority {
         self.site.policy.prefer
     }
 
-    /// One-way latency from the own data centre; `None` without a link.
+    /// Returns the one-way latency from the own data centre; `None` without a link.
     pub(crate) fn latency(&self, to: DataCentreId) -> Option<Span> {
         self.latency.get(&to).copied()
     }
 
-    /// Weight of a firm; 1 when the settings don't name it.
+    /// Returns the weight of a firm; 1 when the settings don't contain it.
     pub(crate) fn weight(&self, firm: FirmId) -> Weight {
         self.site.firms.get(&firm).map_or(Weight(1), |firm| firm.weight)
     }
 
-    /// Weight of each firm.
+    /// Returns the weight of each firm.
     pub(crate) fn weights(&self) -> impl Iterator<Item = (FirmId, Weight)> {
         self.site.firms.iter().map(|(id, firm)| (*id, firm.weight))
     }
 
-    /// Quota of each firm with a contract for `pool`, summed over the pool's services.
+    /// Returns the quota of each firm with a contract for `pool`, summed over the pool's services.
+    /// The sum is `None` when one of its contracts has no limit.
     pub(crate) fn quotas(&self, pool: ServiceId) -> FxHashMap<FirmId, Option<Slots>> {
         let mut quotas = FxHashMap::default();
         for ((firm, service), quota) in &self.contracts {
@@ -173,42 +174,44 @@
         quotas
     }
 
-    /// Checks what the settings demand of a submission.
+    /// Checks a submission against the settings: service, contract, crew, number of tasks and body
+    /// size.
     pub(crate) fn check(&self, submission: &Submission) -> Result<(), (Outcome, Reason)> {
-        let refuse = |reason| Err((Outcome::NotRun, reason));
+        let reject = |reason| Err((Outcome::NotRun, reason));
         let Some(service) = self.site.services.get(&submission.service) else {
-            return refuse(Reason::NoContract);
+            return reject(Reason::NoContract);
         };
         if !self.contracts.contains_key(&(submission.firm, submission.service)) {
-            return refuse(Reason::NoContract);
+            return reject(Reason::NoContract);
         }
         let crew = (submission.firm, submission.crew);
         if submission.crew != CrewId::default() && !self.crews.contains(&crew) {
-            return refuse(Reason::NoContract);
+            return reject(Reason::NoContract);
         }
         let tasks = submission.tasks.len();
         if tasks == 0 || tasks > site::submission::MAX_TASKS {
-            return refuse(Reason::Size);
+            return reject(Reason::Size);
         }
         let limit = service.body_limit.0;
         if submission.tasks.iter().any(|task| task.body.len() as u64 > limit) {
-            return refuse(Reason::Size);
+            return reject(Reason::Size);
         }
         Ok(())
     }
 }
 
-/// The pool that runs a service.
+/// Returns the pool that runs a service.
 pub(crate) fn pool_of(service: &Service) -> ServiceId {
     match service.place {
         Place::Executors => ServiceId::of(&service.name),
-        Place::Workers => WORKERS,
+        Place::Workers => WORKER_POOL,
     }
 }
 
-/// The data centres that are joined to `own` by links of small latency, directly or not.
+/// Returns the data centres that are joined to `own`, directly or indirectly, by links of at most
+/// [`MAX_CLUSTER_LATENCY`].
 fn cluster(site: &Site, own: DataCentreId) -> Vec<DataCentreId> {
-    let near = site.links.iter().filter(|link| link.latency <= CLUSTER_LATENCY);
+    let near = site.links.iter().filter(|link| link.latency <= MAX_CLUSTER_LATENCY);
     let ends: Vec<_> =
         near.map(|link| link.between.each_ref().map(|name| DataCentreId::of(name))).collect();
     let mut cluster = vec![own];
@@ -230,40 +233,40 @@
     cluster
 }
 
-fn leads(
-    endpoints: &FxHashMap<EndpointId, Spot>,
+fn lead_count(
+    endpoints: &FxHashMap<EndpointId, ResolvedEndpoint>,
     cluster: &[DataCentreId],
     slots_per_lead: u32,
 ) -> usize {
-    let near = endpoints.values().filter(|spot| cluster.contains(&spot.data_centre));
+    let near = endpoints.values().filter(|resolved| cluster.contains(&resolved.data_centre));
     let slots: u32 = near.map(slots).sum();
     slots.div_ceil(slots_per_lead.max(1)).max(1) as usize
 }
 
-fn slots(spot: &Spot) -> u32 {
-    match spot.pool {
-        WORKERS => spot.capacity.cores.0 / 1_000 / CORES_PER_SLOT,
-        _ => spot.capacity.slots.0,
+fn slots(resolved: &ResolvedEndpoint) -> u32 {
+    match resolved.pool {
+        WORKER_POOL => resolved.capacity.cores.0 / 1_000 / CORES_PER_SLOT,
+        _ => resolved.capacity.slots.0,
     }
 }
 
-fn endpoints(site: &Site) -> FxHashMap<EndpointId, Spot> {
+fn endpoints(site: &Site) -> FxHashMap<EndpointId, ResolvedEndpoint> {
     let executors = site.executors.iter().map(|(id, executor)| {
         let service = ServiceId::of(&executor.service);
         let default = site.services.get(&service).map_or(Slots(0), |s| s.slots);
         let slots = executor.slots.unwrap_or(default);
-        let spot = Spot {
+        let resolved = ResolvedEndpoint {
             pool: service,
             data_centre: DataCentreId::of(&executor.data_centre),
             rack: RackId::default(),
             capacity: Resources { slots, ..Resources::default() },
             leaving: executor.leaving,
         };
-        (*id, spot)
+        (*id, resolved)
     });
     let workers = site.workers.iter().map(|(id, worker)| {
-        let spot = Spot {
-            pool: WORKERS,
+        let resolved = ResolvedEndpoint {
+            pool: WORKER_POOL,
             data_centre: DataCentreId::of(&worker.data_centre),
             rack: RackId::of(&worker.rack),
             capacity: Resources {
@@ -274,7 +277,7 @@
             },
             leaving: worker.leaving,
         };
-        (*id, spot)
+        (*id, resolved)
     });
     executors.chain(workers).collect()
 }
--- a/components/dispatch/src/pool/pump.rs
+++ b/components/dispatch/src/pool/schedule.rs
@@ -1,6 +1,6 @@
-//! Takes tasks from the queue and places them.
+//! Takes tasks from the queue and starts attempts on the endpoints chosen by placement.
 
-use super::{Attempt, Item, Pool};
+use super::{Attempt, Pool, QueuedTask};
 use crate::{
     Action, Decision,
     action::{Source, Start},
@@ -11,37 +11,37 @@
     unit::{Resources, Span, Time},
 };
 
-/// Tasks that one round passes over since no endpoint has room for them.
-const MAX_SKIPPED: usize = 8;
+/// Maximum number of tasks that one round skips because they fit no endpoint.
+const MAX_SKIPPED_TASKS: usize = 8;
 
-/// Bits of an attempt identifier below the pool's number.
+/// Number of bits of an attempt identifier below the pool's number.
 const SEQUENCE_BITS: u32 = 48;
 
-/// The number of the pool that an attempt belongs to.
+/// Returns the number of the pool that an attempt belongs to.
 pub(crate) fn pool_number(attempt: AttemptId) -> u16 {
     (attempt.0 >> SEQUENCE_BITS) as u16
 }
 
 impl Pool {
-    /// Does all that became possible: serves others what is owed, starts tasks, offers what is
-    /// idle, and asks for what is missing.
-    pub(super) fn settle(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.share.forget(now);
-        self.pay(now);
-        self.pump(now, out);
-        self.offer(now);
-        self.wish(now, out);
+    /// Runs all scheduling steps: lends what is owed, starts queued tasks, lends what is idle,
+    /// requests missing capacity and sends due grants.
+    pub(super) fn schedule(&mut self, now: Time, out: &mut Vec<Action>) {
+        self.share.expire_requests(now);
+        self.lend_owed(now);
+        self.place_queued(now, out);
+        self.lend_idle(now);
+        self.request_capacity(now, out);
         self.flush(now, out);
     }
 
-    fn pump(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn place_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut skipped = Vec::new();
-        while self.placement.total_free().0 > 0 && skipped.len() < MAX_SKIPPED {
+        while self.placement.total_free().0 > 0 && skipped.len() < MAX_SKIPPED_TASKS {
             let Some((key, item)) = self.queue.pop() else {
                 break;
             };
             if item.job.is_closed() {
-                self.forget_item(key, &item);
+                self.discard_task(key, &item);
                 continue;
             }
             let (declared, _) = self.declared(&item.job, item.index);
@@ -55,32 +55,32 @@
             }
         }
         let full = self.placement.total_free().0 == 0 && self.queue.peek().is_some();
-        self.starved = full || !skipped.is_empty();
+        self.has_unplaced = full || !skipped.is_empty();
         for (key, item) in skipped.into_iter().rev() {
-            self.put_back(key, item);
+            self.requeue(key, item);
         }
     }
 
-    /// Returns a task to the head of its job's queue; what it was charged stays charged.
-    pub(super) fn put_back(&mut self, key: Key, item: Item) {
+    /// Returns a task to the head of its job's queue. Its charge is kept.
+    pub(super) fn requeue(&mut self, key: Key, item: QueuedTask) {
         self.queue.finish(key.firm, key.crew, item.charged, item.charged);
         self.queue.push_front(key, item.cost, item);
     }
 
-    fn forget_item(&mut self, key: Key, item: &Item) {
+    fn discard_task(&mut self, key: Key, item: &QueuedTask) {
         self.queue.finish(key.firm, key.crew, item.charged, item.charged);
-        self.unload(key.firm, item.job.number, 1);
+        self.remove_open_tasks(key.firm, item.job.number, 1);
     }
 
-    /// An endpoint with room that may be used now, its resources taken.
-    fn choose(&mut self, now: Time, item: &Item, needs: &Resources) -> Option<EndpointId> {
+    /// Chooses a usable endpoint with room for the task and reserves its resources.
+    fn choose(&mut self, now: Time, item: &QueuedTask, needs: &Resources) -> Option<EndpointId> {
         if let Some(endpoint) = self.choose_trial(now, item, needs) {
             return Some(endpoint);
         }
         loop {
             let spread = self.running.get(&item.job.number).map(|running| &running.spread);
             let chosen = self.placement.choose(needs, &item.avoid, spread)?;
-            if !self.is_worth_it(chosen, item.cost) {
+            if !self.is_endpoint_worthwhile(chosen, item.cost) {
                 self.placement.release(chosen, needs);
                 return None;
             }
@@ -88,20 +88,22 @@
                 return Some(chosen);
             }
             self.placement.release(chosen, needs);
-            self.reopen(now, chosen);
+            self.update_open(now, chosen);
         }
     }
 
-    /// Whether a task is done sooner on this endpoint than by waiting for a faster one.
+    /// Whether a task is expected to finish sooner on this endpoint than by waiting for a faster
+    /// one.
     ///
-    /// A slow endpoint is chosen only when no other has room. The wait for another is estimated by
-    /// the work that is queued, spread over all that this entry may use.
-    fn is_worth_it(&self, endpoint: EndpointId, run_time: Span) -> bool {
-        let Some(factor) = self.slow.get(&endpoint) else {
+    /// A slow endpoint is chosen only when no other has room. The wait for a faster one is
+    /// estimated as the queued work divided by all the capacity that this entry may use.
+    fn is_endpoint_worthwhile(&self, endpoint: EndpointId, run_time: Span) -> bool {
+        let Some(factor) = self.slow_factors.get(&endpoint) else {
             return true;
         };
-        // Nothing faster would come: all of them, or the estimate, are off.
-        if self.slow.len() >= self.share.counted.len() {
+        // When all usable endpoints are slow, no faster one will become free, or the estimate is
+        // wrong.
+        if self.slow_factors.len() >= self.share.usable_by_endpoint.len() {
             return true;
         }
         let loss = run_time.0 as f64 * (f64::from(*factor) - 1.0);
@@ -115,18 +117,18 @@
         &mut self,
         now: Time,
         key: Key,
-        mut item: Item,
+        mut item: QueuedTask,
         endpoint: EndpointId,
         needs: Resources,
         declared: Resources,
         out: &mut Vec<Action>,
     ) {
         item.attempts += 1;
-        self.typical.observe(&needs);
+        self.average_needs.observe(&needs);
         if item.attempts == 1 {
             self.budget.earn(key.firm);
         }
-        let attempt = self.next_attempt();
+        let attempt = self.next_attempt_id();
         let submission = item.job.submission.clone();
         let task = TaskId { submission: submission.id, index: item.index };
         let time_limit = item.job.deadline.since(now);
@@ -147,10 +149,10 @@
         running.spread.add(self.placement.rack(endpoint).unwrap_or_default());
         let record = Attempt { item, endpoint, started: now, needs, declared, measured: None };
         self.attempts.insert(attempt, record);
-        self.tell_usage(key.firm, out);
+        self.send_usage(key.firm, out);
     }
 
-    fn next_attempt(&mut self) -> AttemptId {
+    fn next_attempt_id(&mut self) -> AttemptId {
         self.sequence += 1;
         AttemptId((u64::from(self.number) << SEQUENCE_BITS) | self.sequence)
     }
--- a/components/dispatch/src/pool/timer.rs
+++ b/components/dispatch/src/pool/timer.rs
@@ -1,4 +1,4 @@
-//! What a pool does when time has passed.
+//! Handles the timers of a pool.
 
 use super::Pool;
 use crate::{Action, Decision, action::Cause};
@@ -9,29 +9,29 @@
 };
 use std::cmp::Reverse;
 
-/// Factor from which a slow endpoint gets a task only when waiting would take longer. Smaller ones
-/// are within what run times of 50 ms to 5 s show of an endpoint by chance.
-const SLOW: f32 = 2.5;
+/// Minimum slowdown factor at which an endpoint gets a task only when waiting would take longer.
+/// Smaller factors are within the random variation that run times of 50 ms to 5 s show.
+const SLOW_FACTOR: f32 = 2.5;
 
 impl Pool {
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.release_holds(now);
         let mut changes = Vec::new();
         self.health.tick(now, &mut changes);
         for (endpoint, change) in changes {
-            self.apply(now, endpoint, change, out);
+            self.apply_health(now, endpoint, change, out);
         }
-        self.settle(now, out);
+        self.schedule(now, out);
     }
 
-    /// When [`Pool::tick`] is due next.
+    /// Returns when [`Pool::tick`] is due next.
     pub(crate) fn next_timer(&self) -> Time {
         let hold = self.holds.peek().map(|Reverse(hold)| hold.until);
-        let parcel = self.share.parcel.due;
+        let outbox = self.share.outbox.due;
         let health = self.health.next_timer();
-        let wish = self.next_wish();
-        [hold, parcel, health, wish].into_iter().flatten().min().unwrap_or(Time::NEVER)
+        let request = self.next_capacity_request();
+        [hold, outbox, health, request].into_iter().flatten().min().unwrap_or(Time::NEVER)
     }
 
     fn release_holds(&mut self, now: Time) {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Carries a change of an endpoint's health over to its placement.
-    pub(super) fn apply(
+    /// Applies a change of an endpoint's health to its placement and logs it.
+    pub(super) fn apply_health(
         &mut self,
         now: Time,
         endpoint: EndpointId,
@@ -60,13 +60,13 @@
             Change::Restore => (true, Cause::Recovered),
         };
         out.push(Action::Log(Decision::Isolate { endpoint, open, cause }));
-        self.reopen(now, endpoint);
+        self.update_open(now, endpoint);
     }
 
     fn set_speed(&mut self, endpoint: EndpointId, factor: f32) {
-        match factor >= SLOW {
-            true => self.slow.insert(endpoint, factor),
-            false => self.slow.remove(&endpoint),
+        match factor >= SLOW_FACTOR {
+            true => self.slow_factors.insert(endpoint, factor),
+            false => self.slow_factors.remove(&endpoint),
         };
         self.placement.set_speed(endpoint, factor);
     }
