--- a/components/entry/benches/spread/world.rs
+++ b/components/entry/benches/spread/deployment.rs
@@ -1,6 +1,6 @@
-//! Entries of two data centres and a platform.
+//! A deployment of entries in two data centres with a stand-in for the platform.
 
-use crate::{folder::Folder, watch::Spread};
+use crate::{folder::Folder, usage::Spread};
 use entry::{Process, Setup};
 use link::tls::{
     Identity,
@@ -23,60 +23,63 @@
 use telemetry::Level;
 use uuid::Uuid;
 
-/// The data centres.
-const ZONES: [&str; 2] = ["cutting", "office"];
+/// Names of the data centres.
+const DATA_CENTRES: [&str; 2] = ["cutting", "office"];
 
-/// Time between two looks at what is in force.
-const LOOK: Duration = Duration::from_millis(1);
+/// Interval at which the settings in force are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Time for connections and choices to settle.
-const SETTLING: Duration = Duration::from_secs(5);
+/// Time for connections and the election of watchers to settle.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 
-/// A running site.
-pub(crate) struct World {
+/// A running deployment.
+pub(crate) struct Deployment {
     pub(crate) platform: Platform,
     pub(crate) entries: Vec<Process>,
     store: Client,
     revision: Revision,
 }
 
-impl World {
+impl Deployment {
     /// Starts `count` entries in each data centre and waits until all are connected.
-    pub(crate) async fn start(count: usize, folder: &Folder) -> World {
-        let platform = Platform::spawn(anywhere()).expect("a port is free");
+    pub(crate) async fn start(count: usize, folder: &Folder) -> Deployment {
+        let platform = Platform::spawn(loopback()).expect("a port is free");
         let store = Client::new(Options::new(vec![platform.address()]));
         let authority = Authority::create().expect("keys can be made");
         let (log, _guard) = telemetry::start(io::sink(), Level::Error).expect("a thread starts");
-        let mut world = World { platform, entries: Vec::new(), store, revision: Revision(0) };
-        world.accept(&folder.files).await;
-        for (zone, index) in ZONES.iter().flat_map(|zone| (0..count).map(move |i| (*zone, i))) {
-            let name = format!("{zone}-{index}");
+        let mut deployment =
+            Deployment { platform, entries: Vec::new(), store, revision: Revision(0) };
+        deployment.accept(&folder.files).await;
+        for (data_centre, index) in
+            DATA_CENTRES.iter().flat_map(|data_centre| (0..count).map(move |i| (*data_centre, i)))
+        {
+            let name = format!("{data_centre}-{index}");
             let pair = authority.issue(EntryId::of(&name), ENTRY_LIFETIME).expect("it is right");
             let ca = &authority.pair.certificate;
             let setup = Setup {
-                daemon: daemon(&name, zone, world.platform.address()),
+                daemon: daemon(&name, data_centre, deployment.platform.address()),
                 identity: Identity::from_pem(ca, &pair.certificate, &pair.key).expect("it fits"),
                 certificate: settings::digest(pair.certificate.as_bytes()),
                 files: Files::new(),
                 log: log.clone(),
             };
-            world.entries.push(Process::start(setup).await.expect("an entry starts"));
+            deployment.entries.push(Process::start(setup).await.expect("an entry starts"));
         }
-        world.in_force(world.revision).await;
-        Timer::after(SETTLING).await;
-        world
+        deployment.wait_in_force(deployment.revision).await;
+        Timer::after(SETTLING_TIME).await;
+        deployment
     }
 
-    /// Accepts the folder and waits until it is in force at all entries.
+    /// Accepts the folder and measures until it is in force at all entries.
     pub(crate) async fn spread(&mut self, folder: &Folder) -> Spread {
         let called = Instant::now();
         let revision = self.accept(&folder.files).await;
         let answered = Instant::now();
-        let done = self.in_force(revision).await;
+        let done = self.wait_in_force(revision).await;
         Spread { called: done - called, answered: done.saturating_duration_since(answered) }
     }
 
-    /// Accepts changes as fast as can be.
+    /// Accepts changes without pauses and measures each.
     pub(crate) async fn burst(&mut self, folder: &mut Folder, changes: usize) -> Vec<Spread> {
         let mut accepted = Vec::new();
         let mut done = Vec::new();
@@ -85,10 +88,10 @@
             let called = Instant::now();
             let revision = self.accept(&folder.files).await;
             accepted.push((called, Instant::now(), revision));
-            self.note(&mut done);
+            self.record_lowest(&mut done);
         }
-        while self.note(&mut done) < self.revision {
-            Timer::after(LOOK).await;
+        while self.record_lowest(&mut done) < self.revision {
+            Timer::after(POLL_INTERVAL).await;
         }
         let spread = |(called, answered, revision): (Instant, Instant, Revision)| {
             let at = done.iter().find(|(lowest, _)| *lowest >= revision).expect("all are done").1;
@@ -98,23 +101,23 @@
         accepted.into_iter().map(spread).collect()
     }
 
-    /// Notes the lowest revision in force when it has grown, and returns it.
-    fn note(&self, done: &mut Vec<(Revision, Instant)>) -> Revision {
-        let lowest = self.lowest();
+    /// Returns the lowest revision in force, and records the time if it has increased.
+    fn record_lowest(&self, done: &mut Vec<(Revision, Instant)>) -> Revision {
+        let lowest = self.lowest_revision();
         if done.last().is_none_or(|(known, _)| *known < lowest) {
             done.push((lowest, Instant::now()));
         }
         lowest
     }
 
-    async fn in_force(&self, revision: Revision) -> Instant {
-        while self.lowest() < revision {
-            Timer::after(LOOK).await;
+    async fn wait_in_force(&self, revision: Revision) -> Instant {
+        while self.lowest_revision() < revision {
+            Timer::after(POLL_INTERVAL).await;
         }
         Instant::now()
     }
 
-    fn lowest(&self) -> Revision {
+    fn lowest_revision(&self) -> Revision {
         let revisions = self.entries.iter().map(|entry| entry.engine().settings().revision);
         revisions.min().unwrap_or_default()
     }
@@ -129,19 +132,19 @@
     }
 }
 
-fn daemon(name: &str, zone: &str, platform: SocketAddr) -> Daemon {
+fn daemon(name: &str, data_centre: &str, platform: SocketAddr) -> Daemon {
     let text = json!({
         "name": name,
-        "data-centre": zone,
-        "http": anywhere(),
-        "quic": anywhere(),
+        "data-centre": data_centre,
+        "http": loopback(),
+        "quic": loopback(),
         "platform": [platform],
         "tls": { "key": "", "certificate": "", "authority": "" },
     });
     Daemon::parse(name.into(), text.to_string().into()).expect("it is right")
 }
 
-/// A loopback port that the system chooses.
-fn anywhere() -> SocketAddr {
+/// Loopback address with a port that the system chooses.
+fn loopback() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
--- a/components/entry/benches/spread/folder.rs
+++ b/components/entry/benches/spread/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of settings, and changes to it.
+//! A generated folder of settings, and changes to it.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -6,13 +6,13 @@
 use serde_json::json;
 use settings::Files;
 
-/// Crews of each firm; so many that a firm's file has about 640 bytes.
+/// Number of crews of each firm; gives a firm's file about 640 bytes.
 const CREWS: usize = 12;
 
-/// Each change of this number adds a file, and the next one removes it.
-const ADDING: usize = 10;
+/// Every n-th change adds a file, and the change after it removes the file.
+const FILE_CHANGE_PERIOD: usize = 10;
 
-/// A folder with a file for each firm.
+/// A folder of settings with one file for each firm.
 #[derive(Debug, Display)]
 #[display("{} files, {} bytes", files.len(), files.values().map(Bytes::len).sum::<usize>())]
 pub(crate) struct Folder {
@@ -22,7 +22,7 @@
 }
 
 impl Folder {
-    /// A folder of `files` files, at least 2.
+    /// Creates a folder of `files` files; must be at least 2.
     pub(crate) fn new(files: usize) -> Folder {
         let site = json!({
             "data-centres": { "cutting": { "region": "zilina" }, "office": { "region": "zilina" } },
@@ -35,11 +35,11 @@
         Folder { files: named.chain([site]).collect(), firms, changes: 0 }
     }
 
-    /// Gives one firm another weight, or adds or removes a file.
+    /// Changes the weight of one firm, or adds or removes a file.
     pub(crate) fn change(&mut self) {
         self.changes += 1;
         let firm = self.changes % self.firms;
-        match self.changes % ADDING {
+        match self.changes % FILE_CHANGE_PERIOD {
             0 => drop(self.files.insert(name(self.firms), file(self.firms, 1))),
             1 if self.files.remove(&name(self.firms)).is_some() => {}
             _ => drop(self.files.insert(name(firm), file(firm, 2 + self.changes % 100))),
--- a/components/entry/benches/spread/watch.rs
+++ b/components/entry/benches/spread/usage.rs
@@ -1,18 +1,18 @@
-//! Times and costs.
+//! Distribution times, and traffic and calls used.
 
-use crate::world::World;
+use crate::deployment::Deployment;
 use std::time::{Duration, Instant};
 
-/// Time until a change was in force at all entries.
+/// Time until a change was in force at all entries, from two starting points.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Spread {
-    /// From the start of the call that accepts it.
+    /// From the start of the call that accepts the change.
     pub(crate) called: Duration,
-    /// From that call's answer.
+    /// From the response to that call.
     pub(crate) answered: Duration,
 }
 
-/// Prints the median and the largest times.
+/// Prints the median, the 99th percentile and the maximum.
 pub(crate) fn print(what: &str, times: &[Spread]) {
     let line = |from: &str, time: fn(&Spread) -> Duration| {
         let mut times: Vec<Duration> = times.iter().map(time).collect();
@@ -29,7 +29,7 @@
     time.as_secs_f64() * 1e3
 }
 
-/// What all entries together have used.
+/// Resources that all entries together have used.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Usage {
     at: Instant,
@@ -39,30 +39,30 @@
     frames: u64,
     /// Bytes of UDP payload received.
     datagrams: u64,
-    /// The most bytes of frames that one entry sent.
-    most: u64,
+    /// Maximum bytes of frames sent by a single entry.
+    max_sent: u64,
     reads: u64,
     writes: u64,
 }
 
 impl Usage {
-    /// Since the start.
-    pub(crate) fn now(world: &World) -> Usage {
-        let traffic: Vec<_> = world.entries.iter().map(|entry| entry.traffic()).collect();
-        let calls = world.platform.calls();
+    /// Returns the usage since the start.
+    pub(crate) fn now(deployment: &Deployment) -> Usage {
+        let traffic: Vec<_> = deployment.entries.iter().map(|entry| entry.traffic()).collect();
+        let calls = deployment.platform.calls();
         Usage {
             at: Instant::now(),
             time: Duration::ZERO,
             entries: traffic.len(),
             frames: traffic.iter().map(|traffic| traffic.bytes_in).sum(),
             datagrams: traffic.iter().map(|traffic| traffic.datagram_bytes_in).sum(),
-            most: traffic.iter().map(|traffic| traffic.bytes_out).max().unwrap_or(0),
+            max_sent: traffic.iter().map(|traffic| traffic.bytes_out).max().unwrap_or(0),
             reads: calls.reads,
             writes: calls.writes,
         }
     }
 
-    /// From an earlier time on.
+    /// Returns the usage since an earlier measurement.
     pub(crate) fn since(&self, before: &Usage) -> Usage {
         Usage {
             at: self.at,
@@ -70,13 +70,13 @@
             entries: self.entries,
             frames: self.frames - before.frames,
             datagrams: self.datagrams - before.datagrams,
-            most: self.most.saturating_sub(before.most),
+            max_sent: self.max_sent.saturating_sub(before.max_sent),
             reads: self.reads - before.reads,
             writes: self.writes - before.writes,
         }
     }
 
-    /// Prints what each change cost beyond idling.
+    /// Prints the cost of each change beyond the idle cost.
     pub(crate) fn print(&self, idle: &Usage, changes: usize) {
         let part = self.time.as_secs_f64() / idle.time.as_secs_f64();
         let extra = |now: u64, idle: u64| (now as f64 - idle as f64 * part) / changes as f64;
@@ -88,7 +88,7 @@
         );
         println!(
             "  each change, by the entry that sent most: {:.0} bytes of frames",
-            extra(self.most, idle.most),
+            extra(self.max_sent, idle.max_sent),
         );
         println!(
             "  each change, calls to the platform with the operator's 3: {:.2} reads, {:.2} \
--- a/components/entry/src/backend.rs
+++ b/components/entry/src/backend.rs
@@ -1,4 +1,4 @@
-//! What the HTTP interface asks of an entry.
+//! Implements the HTTP API's backend on top of an engine.
 
 use crate::{Engine, overview, waiters::Wake};
 use async_channel::Receiver;
@@ -16,39 +16,40 @@
 use smol::Timer;
 use std::{sync::Arc, time::Duration};
 
-/// Added to the deadline of a fetch, so that its own time limit ends it first.
-const FETCH_SLACK: Span = Span::from_secs(5);
+/// Added to the deadline that the engine gets for a fetch, so that the HTTP API's own timeout
+/// expires first.
+const FETCH_DEADLINE_MARGIN: Span = Span::from_secs(5);
 
-/// An engine behind the HTTP interface.
+/// An engine as the backend of the HTTP API.
 #[derive(Clone)]
 pub struct Backend {
     engine: Arc<Engine>,
 }
 
-/// A waiter that is told to the logic as gone when it is dropped unanswered.
+/// A registered waiter. If it is dropped unanswered, the decision logic is notified.
 struct Ticket {
     engine: Arc<Engine>,
     waiter: WaiterId,
-    /// The submission whose answer is waited for.
+    /// The submission that the waiter waits for.
     id: SubmissionId,
     woken: Receiver<Wake>,
 }
 
 impl Backend {
-    /// The interface to `engine`.
+    /// Creates a backend for `engine`.
     pub fn new(engine: Arc<Engine>) -> Backend {
         Backend { engine }
     }
 
-    fn ticket(&self, id: SubmissionId) -> Ticket {
-        let (waiter, woken) = self.engine.waiters().open();
+    fn open_ticket(&self, id: SubmissionId) -> Ticket {
+        let (waiter, woken) = self.engine.waiters().register();
         Ticket { engine: self.engine.clone(), waiter, id, woken }
     }
 
-    async fn measured(&self, ticket: &Ticket) -> (SubmissionId, Arc<Answer>) {
+    async fn timed_answer(&self, ticket: &Ticket) -> (SubmissionId, Arc<Answer>) {
         let start = self.engine.clock().now();
         let (id, answer) = ticket.answer().await;
-        self.engine.metrics().answered(&answer, self.engine.clock().now().since(start));
+        self.engine.metrics().record_answer(&answer, self.engine.clock().now().since(start));
         (id, answer)
     }
 }
@@ -64,13 +65,13 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        if self.engine.waiters().forget(self.waiter) {
+        if self.engine.waiters().remove(self.waiter) {
             self.engine.post(Event::Abandon { waiter: self.waiter, id: self.id });
         }
     }
 }
 
-/// The answer of a waiter that is lost, which the logic never causes.
+/// Answer for a waiter whose channel closed without one; the decision logic never causes this.
 fn unanswered() -> Answer {
     Answer::Failed(Failure {
         outcome: Outcome::MayHaveRun,
@@ -94,9 +95,9 @@
     }
 
     async fn submit(&self, submission: Arc<Submission>) -> Arc<Answer> {
-        let ticket = self.ticket(submission.id);
+        let ticket = self.open_ticket(submission.id);
         self.engine.post(Event::Submit { waiter: ticket.waiter, submission });
-        self.measured(&ticket).await.1
+        self.timed_answer(&ticket).await.1
     }
 
     async fn submit_keyed(
@@ -105,25 +106,25 @@
         first: bool,
         submission: Arc<Submission>,
     ) -> Keyed {
-        let ticket = self.ticket(submission.id);
+        let ticket = self.open_ticket(submission.id);
         let waiter = ticket.waiter;
         self.engine.post(Event::SubmitKeyed { waiter, key, first, submission });
-        let (id, answer) = self.measured(&ticket).await;
+        let (id, answer) = self.timed_answer(&ticket).await;
         Keyed { id, answer }
     }
 
     fn begin(&self, submission: Arc<Submission>) {
-        let waiter = self.engine.waiters().allot();
+        let waiter = self.engine.waiters().allocate_id();
         let id = submission.id;
         self.engine.post(Event::Submit { waiter, submission });
         self.engine.post(Event::Abandon { waiter, id });
     }
 
     async fn fetch(&self, id: SubmissionId, firm: FirmId, deadline: Span) -> Fetched {
-        let ticket = self.ticket(id);
+        let ticket = self.open_ticket(id);
         let waiter = ticket.waiter;
-        let patience = deadline + FETCH_SLACK;
-        self.engine.post(Event::Fetch { waiter, id, firm, deadline: patience });
+        let engine_deadline = deadline + FETCH_DEADLINE_MARGIN;
+        self.engine.post(Event::Fetch { waiter, id, firm, deadline: engine_deadline });
         let answered = async { Fetched::Answer(ticket.answer().await.1) };
         let expired = async {
             Timer::after(Duration::from_micros(deadline.0)).await;
@@ -133,7 +134,7 @@
     }
 
     async fn query(&self, id: SubmissionId, firm: FirmId) -> Option<Status> {
-        let ticket = self.ticket(id);
+        let ticket = self.open_ticket(id);
         self.engine.post(Event::Query { waiter: ticket.waiter, id, firm });
         match ticket.woken.recv().await {
             Ok(Wake::Status(status)) => status,
@@ -142,13 +143,13 @@
     }
 
     async fn cancel(&self, id: SubmissionId, firm: FirmId) -> Arc<Answer> {
-        let ticket = self.ticket(id);
+        let ticket = self.open_ticket(id);
         self.engine.post(Event::Cancel { waiter: ticket.waiter, id, firm });
         ticket.answer().await.1
     }
 
     fn ready(&self) -> Readiness {
-        if self.engine.draining() {
+        if self.engine.is_draining() {
             return Readiness::Draining;
         }
         match self.engine.settings().site.data_centres.is_empty() {
@@ -159,7 +160,7 @@
 
     fn metrics(&self) -> String {
         let metrics = self.engine.metrics();
-        self.engine.refresh_levels();
+        self.engine.refresh_gauges();
         metrics.render().unwrap_or_else(|error| {
             tracing::error!(%error, "metrics");
             String::new()
--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims on callers' keys, sent to the platform in batches within a budget of writes.
+//! Key claims: writes claims on callers' idempotency keys to the platform, in batches and at a
+//! limited rate.
 
 use crate::{Engine, failpoint::failpoint};
 use async_channel::Receiver;
@@ -19,93 +20,93 @@
     time::{Duration, SystemTime},
 };
 
-/// Most claims that are gathered before they are written.
-const MAX_GATHERED: usize = 256;
+/// Maximum number of claims in one round of batches.
+const MAX_ROUND_CLAIMS: usize = 256;
 
-/// Time in which claims are gathered.
-const GATHERING: Duration = Duration::from_millis(2);
+/// Time during which claims are collected for a round.
+const ROUND_DELAY: Duration = Duration::from_millis(2);
 
-/// Writes of claims that one entry makes in a second.
-const WRITES: u32 = 20;
+/// Sustained rate of claim writes of one entry, per second.
+const WRITES_PER_SECOND: u32 = 20;
 
-/// Writes of claims that one entry makes at one time.
-const BURST: u32 = 20;
+/// Maximum burst of claim writes of one entry.
+const WRITE_BURST: u32 = 20;
 
-/// How long a key is remembered. Callers must not send a key again later than this, less the
-/// difference of the entries' clocks.
-pub const KEY_LIFE: Span = Span::from_secs(24 * 3600);
+/// Time to live of a claimed key. Callers must not resubmit a key after this time, less the
+/// difference between the entries' clocks.
+pub const KEY_TTL: Span = Span::from_secs(24 * 3600);
 
-/// A claim that is wanted.
+/// A key claim requested by the decision logic.
 #[derive(Clone, Debug)]
-pub struct Wanted {
-    /// Who waits for the outcome.
+pub struct ClaimRequest {
+    /// The caller that waits for the result.
     pub waiter: WaiterId,
-    /// The key's firm.
+    /// The firm whose key it is.
     pub firm: FirmId,
-    /// The key.
+    /// The idempotency key.
     pub key: CompactString,
-    /// What the key shall stand for.
+    /// Submission that the key is to be bound to.
     pub id: SubmissionId,
-    /// A claim for this identifier gives way.
+    /// An existing claim for this submission is replaced; `None` replaces no claim.
     pub replaces: Option<SubmissionId>,
-    /// The outcome is [`event::Claim::Out`] when it is not known by then.
+    /// Deadline after which the result is [`event::Claim::Out`].
     pub until: Time,
 }
 
-/// Settles an engine's claims. Returns when the engine is gone.
+/// Commits the claims that an engine requests. Returns once the engine is dropped.
 pub(crate) async fn run(engine: Arc<Engine>, store: Arc<dyn Store>) {
-    let wanted = engine.claims();
-    let budget = Arc::new(Budget::new(WRITES, BURST));
-    while let Ok(first) = wanted.recv().await {
-        Timer::after(GATHERING).await;
-        let gathered = gather(first, &wanted);
-        for (batch, waiters) in batches(gathered) {
-            let commit = Commit { engine: engine.clone(), store: store.clone(), batch, waiters };
+    let requests = engine.claims();
+    let budget = Arc::new(Budget::new(WRITES_PER_SECOND, WRITE_BURST));
+    while let Ok(first) = requests.recv().await {
+        Timer::after(ROUND_DELAY).await;
+        let round = collect_round(first, &requests);
+        for (batch, requests) in batches(round) {
+            let commit = Commit { engine: engine.clone(), store: store.clone(), batch, requests };
             crate::spawn::spawn(commit.run(budget.clone()));
         }
     }
 }
 
-fn gather(first: Wanted, more: &Receiver<Wanted>) -> Vec<Wanted> {
+fn collect_round(first: ClaimRequest, more: &Receiver<ClaimRequest>) -> Vec<ClaimRequest> {
     let more = std::iter::from_fn(|| more.try_recv().ok());
-    std::iter::once(first).chain(more).take(MAX_GATHERED).collect()
+    std::iter::once(first).chain(more).take(MAX_ROUND_CLAIMS).collect()
 }
 
-/// The claims by document, each with those that wait, in the same order.
-fn batches(gathered: Vec<Wanted>) -> Vec<(Batch, Vec<Wanted>)> {
-    let expires = Timestamp(Timestamp::from(SystemTime::now()).0 + KEY_LIFE.as_secs());
-    let claim = |wanted: &Wanted| Claim {
-        firm: wanted.firm,
-        key: wanted.key.clone(),
-        id: wanted.id,
-        replaces: wanted.replaces,
+/// Groups the claims by document, each batch with its requests in the same order.
+fn batches(round: Vec<ClaimRequest>) -> Vec<(Batch, Vec<ClaimRequest>)> {
+    let expires = Timestamp(Timestamp::from(SystemTime::now()).0 + KEY_TTL.as_secs());
+    let claim = |request: &ClaimRequest| Claim {
+        firm: request.firm,
+        key: request.key.clone(),
+        id: request.id,
+        replaces: request.replaces,
         expires,
     };
-    let batches = Batch::split(gathered.iter().map(claim));
+    let batches = Batch::split(round.iter().map(claim));
     let with_waiters = |batch: Batch| {
-        let of_batch = |wanted: &&Wanted| {
-            platform::claim::Shard::of(wanted.firm, &wanted.key) == batch.shard()
+        let of_batch = |request: &&ClaimRequest| {
+            platform::claim::Shard::of(request.firm, &request.key) == batch.shard()
         };
-        let waiters = gathered.iter().filter(of_batch).cloned().collect();
-        (batch, waiters)
+        let requests = round.iter().filter(of_batch).cloned().collect();
+        (batch, requests)
     };
     batches.into_iter().map(with_waiters).collect()
 }
 
-/// The claims of one document on their way.
+/// The commit of one document's claims.
 struct Commit {
     engine: Arc<Engine>,
     store: Arc<dyn Store>,
     batch: Batch,
-    /// In the order of the batch's claims.
-    waiters: Vec<Wanted>,
+    /// One request for each claim of the batch, in the same order.
+    requests: Vec<ClaimRequest>,
 }
 
 impl Commit {
     async fn run(self, budget: Arc<Budget>) {
         let late = async {
-            Timer::after(Duration::from_micros(self.patience().0)).await;
-            tracing::warn!(claims = self.waiters.len(), "claims not settled in time");
+            Timer::after(Duration::from_micros(self.time_left().0)).await;
+            tracing::warn!(claims = self.requests.len(), "claims not settled in time");
             self.fail();
         };
         self.commit(budget).or(late).await;
@@ -118,11 +119,11 @@
             failpoint!("after-claim");
             match committed {
                 Ok(winners) => return self.settle(&winners),
-                Err(Error::Paced { retry_after }) if self.patience() > retry_after => {
+                Err(Error::Paced { retry_after }) if self.time_left() > retry_after => {
                     Timer::after(Duration::from_micros(retry_after.0)).await;
                 }
                 Err(error) => {
-                    tracing::warn!(%error, claims = self.waiters.len(), "claims not settled");
+                    tracing::warn!(%error, claims = self.requests.len(), "claims not settled");
                     return self.fail();
                 }
             }
@@ -134,28 +135,28 @@
         Now { time: self.engine.clock().now(), calendar }
     }
 
-    /// Time until the first of the claims must be settled.
-    fn patience(&self) -> Span {
-        let until = self.waiters.iter().map(|wanted| wanted.until).min();
+    /// Returns the time left until the earliest deadline of the claims.
+    fn time_left(&self) -> Span {
+        let until = self.requests.iter().map(|request| request.until).min();
         until.unwrap_or(Time::NEVER).since(self.engine.clock().now())
     }
 
     fn settle(&self, winners: &[SubmissionId]) {
-        self.engine.metrics().called("claim", true);
-        for (wanted, winner) in self.waiters.iter().zip(winners) {
-            let result = match *winner == wanted.id {
+        self.engine.metrics().record_platform_call("claim", true);
+        for (request, winner) in self.requests.iter().zip(winners) {
+            let result = match *winner == request.id {
                 true => event::Claim::Won(*winner),
                 false => event::Claim::Taken(*winner),
             };
-            self.engine.post(Event::Claimed { waiter: wanted.waiter, result });
+            self.engine.post(Event::Claimed { waiter: request.waiter, result });
         }
     }
 
     fn fail(&self) {
-        self.engine.metrics().called("claim", false);
-        for wanted in &self.waiters {
+        self.engine.metrics().record_platform_call("claim", false);
+        for request in &self.requests {
             let result = event::Claim::Out;
-            self.engine.post(Event::Claimed { waiter: wanted.waiter, result });
+            self.engine.post(Event::Claimed { waiter: request.waiter, result });
         }
     }
 }
--- a/components/entry/src/clock.rs
+++ b/components/entry/src/clock.rs
@@ -1,27 +1,27 @@
-//! The process's clock.
+//! The monotonic clock of the process.
 
 use site::unit::Time;
 use std::time::{Duration, Instant};
 
-/// Monotonic microseconds since the clock was made. Copies agree.
+/// Counts monotonic microseconds since its creation. Copies have the same origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts at zero now.
+    /// Creates a clock that reads zero now.
     pub fn start() -> Clock {
         Clock { origin: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         let micros = self.origin.elapsed().as_micros();
         Time(u64::try_from(micros).unwrap_or(u64::MAX - 1))
     }
 
-    /// When `time` is, if it ever is.
+    /// Converts `time` to an instant; `None` for [`Time::NEVER`] or out of range.
     pub fn instant(&self, time: Time) -> Option<Instant> {
         match time {
             Time::NEVER => None,
--- a/components/entry/src/config.rs
+++ b/components/entry/src/config.rs
@@ -1,9 +1,10 @@
-//! Keeps the settings of an entry up to date, from the platform and from other entries.
+//! Keeps the settings of an entry up to date, from the platform and from other entries, and puts
+//! them in force.
 
 use crate::{
     Engine,
-    exchange::{Exchange, Received},
-    trouble::Trouble,
+    call_monitor::CallMonitor,
+    replica::{Received, Replica},
 };
 use async_channel::{Receiver, Sender};
 use dispatch::{Message, message};
@@ -18,72 +19,72 @@
     time::{Duration, Instant},
 };
 
-/// How often the choice of watchers is looked at, and failed calls are repeated.
-const PACE: Duration = Duration::from_millis(500);
+/// Interval for re-checking the election of watchers and for retrying failed calls.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time from the start until an entry may watch. By then it has heard its peers, so that no more
-/// watch than need to.
-const HEARING: Duration = Duration::from_secs(1);
+/// Time from the start until an entry may watch the platform. By then it has received its peers'
+/// heartbeats, so that no more entries watch than necessary.
+const WATCH_START_DELAY: Duration = Duration::from_secs(1);
 
-/// Least time between two starts of putting settings in force. Reading a whole folder takes up
-/// to a tenth of this.
-const ENFORCING_PACE: Duration = Duration::from_secs(1);
+/// Minimum time between two starts of applying settings. Parsing a whole folder takes up to a tenth
+/// of this.
+const APPLY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two parts of a folder: 10 MB/s with full parts.
-const PART_PACE: Duration = Duration::from_millis(25);
+/// Time between two parts sent to a peer: 10 MB/s with full parts.
+const PART_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The settings that an entry has, as files, and whom it exchanges them with.
+/// Receives settings from the platform and from peers, relays them, and applies them to the engine.
 pub struct Config {
     engine: Arc<Engine>,
     store: Arc<dyn Store>,
-    exchange: Mutex<Exchange>,
-    /// Holds a token while newer settings than those in force may be held.
-    news: (Sender<()>, Receiver<()>),
+    replica: Mutex<Replica>,
+    /// Contains a token while the held settings may be newer than those in force.
+    changed: (Sender<()>, Receiver<()>),
 }
 
 impl Config {
-    /// Follows the settings for `engine`, which has those in `files`.
+    /// Creates the settings sync of `engine`, whose current settings are those in `files`.
     pub fn new(engine: Arc<Engine>, store: Arc<dyn Store>, files: Files) -> Config {
-        let exchange = Exchange::new(engine.home(), engine.settings().revision, files);
-        let exchange = Mutex::new(exchange);
-        Config { engine, store, exchange, news: async_channel::bounded(1) }
+        let replica = Replica::new(engine.home(), engine.settings().revision, files);
+        let replica = Mutex::new(replica);
+        Config { engine, store, replica, changed: async_channel::bounded(1) }
     }
 
-    /// The revision held. It is in force soon, unless it can't be used here.
+    /// Returns the held revision. It is in force soon, unless it turns out to be unusable here.
     pub fn revision(&self) -> Revision {
-        self.exchange.lock().folder().revision()
+        self.replica.lock().folder().revision()
     }
 
-    /// A peer told its revision; asks it for its settings when they are newer.
-    pub fn heard(&self, peer: Home, revision: Revision, draining: bool) {
+    /// Handles a peer's heartbeat: requests the peer's settings if its revision is newer.
+    pub fn handle_heartbeat(&self, peer: Home, revision: Revision, draining: bool) {
         let now = self.engine.clock().now();
-        let question = self.exchange.lock().heard(now, peer, revision, draining);
-        if let Some(question) = question {
-            self.engine.send(peer, question);
+        let request = self.replica.lock().handle_heartbeat(now, peer, revision, draining);
+        if let Some(request) = request {
+            self.engine.send(peer, request);
         }
     }
 
-    /// The connection to a peer is lost.
-    pub fn lost(&self, peer: Home) {
-        self.exchange.lock().lost(peer);
+    /// Removes the state of a peer whose connection is lost.
+    pub fn remove_peer(&self, peer: Home) {
+        self.replica.lock().remove_peer(peer);
     }
 
-    /// A peer has settings of revision `have` and wants newer ones.
-    pub fn wanted(&self, peer: Home, have: Revision) {
-        let parts = self.exchange.lock().wanted(self.engine.clock().now(), peer, have);
+    /// Handles a peer's request for settings newer than `have`.
+    pub fn handle_request(&self, peer: Home, have: Revision) {
+        let parts = self.replica.lock().handle_request(self.engine.clock().now(), peer, have);
         if !parts.is_empty() {
             crate::spawn::spawn(send(self.engine.clone(), peer, parts));
         }
     }
 
-    /// A peer sent settings.
-    pub fn received(&self, from: Home, part: message::Settings) {
-        let received = self.exchange.lock().received(self.engine.clock().now(), from, part);
+    /// Handles a part of a settings delta from a peer.
+    pub fn handle_part(&self, from: Home, part: message::Settings) {
+        let received = self.replica.lock().handle_part(self.engine.clock().now(), from, part);
         match received {
-            Received::Newer => self.announce(),
-            Received::Nothing => {}
-            Received::Wasted => self.engine.metrics().waste("settings"),
-            Received::Ask(question) => self.engine.send(from, question),
+            Received::Updated => self.trigger_apply(),
+            Received::Incomplete => {}
+            Received::Ignored => self.engine.metrics().record_wasted("settings"),
+            Received::Request(request) => self.engine.send(from, request),
         }
     }
 
@@ -91,135 +92,135 @@
     pub async fn fetch(&self) {
         let known = self.known();
         let fetched = manifest::fetch(&*self.store, &known).await;
-        Trouble::new("fetch-settings").note(&self.engine, &fetched);
+        CallMonitor::new("fetch-settings").record(&self.engine, &fetched);
         match fetched {
-            Ok(Some(found)) => self.found(found.manifest.revision, found.files),
+            Ok(Some(found)) => self.install(found.manifest.revision, found.files),
             Ok(None) => tracing::info!("the platform holds no settings yet"),
-            // A watcher tries again, and peers tell of newer settings.
+            // A watcher retries, and peers report newer settings.
             Err(_) => {}
         }
     }
 
-    /// Watches the platform whenever this entry is one of the watchers. Never returns.
+    /// Watches the platform while this entry is one of the elected watchers. Never returns.
     pub(crate) async fn run(self: Arc<Self>) {
-        Timer::after(HEARING).await;
+        Timer::after(WATCH_START_DELAY).await;
         loop {
             if self.is_watcher() {
                 tracing::info!("watching the platform's settings");
-                self.watch().or(self.until_released()).await;
+                self.watch().or(self.wait_until_released()).await;
                 tracing::info!("no longer watching the platform's settings");
             }
-            Timer::after(PACE).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
     }
 
     async fn watch(&self) {
         let mut feed = manifest::Feed::new(self.store.clone(), self.revision());
-        let mut trouble = Trouble::new("watch-settings");
+        let mut monitor = CallMonitor::new("watch-settings");
         loop {
             let next = feed.next().await;
-            trouble.note(&self.engine, &next);
+            monitor.record(&self.engine, &next);
             match next {
-                Ok(manifest) => self.take(&manifest).await,
-                Err(_) => drop(Timer::after(PACE).await),
+                Ok(manifest) => self.fetch_files(&manifest).await,
+                Err(_) => drop(Timer::after(RETRY_INTERVAL).await),
             }
         }
     }
 
-    /// Reads the files of a manifest until that succeeds or a newer revision is held.
-    async fn take(&self, found: &manifest::Manifest) {
-        let mut trouble = Trouble::new("fetch-settings");
+    /// Reads the files of a manifest, with retries, unless a newer revision is held meanwhile.
+    async fn fetch_files(&self, found: &manifest::Manifest) {
+        let mut monitor = CallMonitor::new("fetch-settings");
         while found.revision > self.revision() {
             let known = self.known();
             let files = manifest::bodies(&*self.store, found, &known).await;
-            trouble.note(&self.engine, &files);
+            monitor.record(&self.engine, &files);
             match files {
-                Ok(files) => return self.found(found.revision, files),
+                Ok(files) => return self.install(found.revision, files),
                 Err(manifest::Error::Missing { digest }) => {
-                    // A newer manifest has replaced this one, and the feed will report it.
+                    // A newer manifest has replaced this one; the feed will report it.
                     tracing::info!(%digest, "the settings have changed since");
                     return;
                 }
-                Err(_) => drop(Timer::after(PACE).await),
+                Err(_) => drop(Timer::after(RETRY_INTERVAL).await),
             }
         }
     }
 
-    async fn until_released(&self) {
+    async fn wait_until_released(&self) {
         while self.is_watcher() {
-            Timer::after(PACE).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
     }
 
     fn is_watcher(&self) -> bool {
         let now = self.engine.clock().now();
-        !self.engine.draining() && self.exchange.lock().follower().watches(now)
+        !self.engine.is_draining() && self.replica.lock().tracker().is_watcher(now)
     }
 
     fn known(&self) -> Files {
-        self.exchange.lock().folder().files().clone()
+        self.replica.lock().folder().files().clone()
     }
 
-    /// Puts the newest settings in force, at once if they are the only change in
-    /// [`ENFORCING_PACE`]. Never returns.
-    pub(crate) async fn enforce(self: Arc<Self>) {
-        while self.news.1.recv().await.is_ok() {
-            let next = Instant::now() + ENFORCING_PACE;
-            self.put_in_force().await;
+    /// Applies the newest held settings, at most once per [`APPLY_INTERVAL`]. A single change is
+    /// applied at once. Never returns.
+    pub(crate) async fn run_apply(self: Arc<Self>) {
+        while self.changed.1.recv().await.is_ok() {
+            let next = Instant::now() + APPLY_INTERVAL;
+            self.apply().await;
             Timer::at(next).await;
         }
     }
 
-    async fn put_in_force(&self) {
+    async fn apply(&self) {
         let (revision, files) = {
-            let exchange = self.exchange.lock();
-            (exchange.folder().revision(), exchange.folder().files().clone())
+            let replica = self.replica.lock();
+            (replica.folder().revision(), replica.folder().files().clone())
         };
         if revision <= self.engine.settings().revision {
             return;
         }
         match smol::unblock(move || settings::parse(&files)).await {
             Ok(checked) => {
-                self.engine.adopt(revision, Arc::new(checked.site));
+                self.engine.apply_settings(revision, Arc::new(checked.site));
                 tracing::info!(%revision, "settings in force");
             }
             Err(report) => {
                 tracing::error!(%revision, %report, "accepted settings can't be used here");
-                self.exchange.lock().reject(revision);
+                self.replica.lock().reject(revision);
             }
         }
     }
 
-    /// Takes settings that the platform holds, and passes them on.
-    fn found(&self, revision: Revision, files: Files) {
+    /// Installs settings that were read from the platform, and relays them to peers.
+    fn install(&self, revision: Revision, files: Files) {
         let relays = {
-            let mut exchange = self.exchange.lock();
-            if !exchange.found(revision, files) {
+            let mut replica = self.replica.lock();
+            if !replica.install(revision, files) {
                 return;
             }
-            exchange.relays(self.engine.clock().now())
+            replica.relay_messages(self.engine.clock().now())
         };
         tracing::info!(%revision, relays = relays.len(), "settings found");
-        self.announce();
+        self.trigger_apply();
         for (peer, part) in relays {
             self.engine.send(peer, Message::Settings(part));
         }
     }
 
-    /// Has the settings put in force.
-    fn announce(&self) {
-        // A full channel holds the news already.
-        let _ = self.news.0.try_send(());
+    /// Triggers applying the held settings.
+    fn trigger_apply(&self) {
+        // If the channel is full, the trigger is pending already.
+        let _ = self.changed.0.try_send(());
     }
 }
 
-/// Sends parts to a peer, not all at once: together they may be more than its queue takes.
+/// Sends parts to a peer with pauses in between: all at once may exceed the peer's queue.
 async fn send(engine: Arc<Engine>, peer: Home, parts: Vec<message::Settings>) {
     for part in parts {
         let last = part.last;
         engine.send(peer, Message::Settings(part));
         if !last {
-            Timer::after(PART_PACE).await;
+            Timer::after(PART_INTERVAL).await;
         }
     }
 }
--- a/components/entry/src/convert.rs
+++ b/components/entry/src/convert.rs
@@ -1,9 +1,9 @@
-//! Between the types of the transport and those of the decision logic.
+//! Converts reports of the transport into events of the decision logic.
 
 use dispatch::event;
 use endpoint::{Loss, Refusal, Reply, Report};
 
-/// The report as the decision logic takes it.
+/// Converts the report of an attempt.
 pub fn report(report: Report) -> event::Report {
     event::Report {
         attempt: report.attempt,
@@ -24,7 +24,7 @@
     }
 }
 
-/// An attempt is over when the endpoint itself gave it up; otherwise it may still run.
+/// Converts a loss: `Lost` if the attempt has ended, `Silent` if it may still run.
 fn lost(loss: Loss) -> event::Reply {
     match loss {
         Loss::Closed
--- a/components/entry/src/engine.rs
+++ b/components/entry/src/engine.rs
@@ -1,15 +1,15 @@
-//! Drives the decision logic: hands it events and carries out its actions.
+//! Drives the decision logic: passes events to it and executes the actions that it returns.
 
 use crate::{
     Clock, Peers,
-    claims::Wanted,
+    claims::ClaimRequest,
     convert,
     failpoint::failpoint,
     latch::Latch,
     metrics::{self, Metrics},
     spawn::spawn,
     timer::Alarm,
-    usage::Busy,
+    usage::BusyWorkers,
     waiters::{Waiters, Wake},
 };
 use async_channel::{Receiver, Sender};
@@ -36,168 +36,169 @@
 };
 use telemetry::{Log, Names};
 
-/// Actions that one event commonly gives.
-const ACTIONS: usize = 8;
+/// Capacity reserved for the actions of one event.
+const ACTIONS_CAPACITY: usize = 8;
 
-/// Claims that may wait to be queued.
-const CLAIMS: usize = 4_096;
+/// Capacity of the queue of key claims.
+const CLAIM_QUEUE_CAPACITY: usize = 4_096;
 
-/// Connections that this process may hold to one worker; a task holds one while it runs.
-const WORKER_CONNECTIONS: u32 = 256;
+/// Maximum connections of this process to one worker. A task occupies one while it runs.
+const MAX_WORKER_CONNECTIONS: u32 = 256;
 
-/// What an engine reaches outside the process.
+/// What an engine uses outside the decision logic.
 #[derive(Clone)]
-pub struct Edges {
-    /// Endpoints.
+pub struct Dependencies {
+    /// Sends calls to endpoints.
     pub transport: Arc<dyn Transport>,
-    /// Other entries.
+    /// Sends messages to other entries.
     pub peers: Arc<dyn Peers>,
-    /// The log.
+    /// Receives decisions.
     pub log: Log,
 }
 
-/// Settings in force.
+/// Settings in force, with their revision.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Their revision.
+    /// Revision of the settings; 0 for settings that the platform never accepted.
     pub revision: Revision,
-    /// What they say.
+    /// The parsed settings.
     pub site: Arc<Site>,
 }
 
-/// One entry at work.
+/// A running entry.
 pub struct Engine {
     home: Home,
     clock: Clock,
     entry: Entry,
     waiters: Waiters,
     settings: RwLock<Settings>,
-    edges: Edges,
+    dependencies: Dependencies,
     metrics: Metrics,
     alarm: Alarm,
-    busy: Busy,
-    /// Entries that share the executors' connections, this one included; at least 1.
-    sharers: AtomicU32,
-    claims: (Sender<Wanted>, Receiver<Wanted>),
-    /// Set once a planned stop has begun.
-    begun: Latch,
-    /// Set once the logic has asked to exit.
+    busy_workers: BusyWorkers,
+    /// Number of entries that share the executors' connections, this one included; at least 1.
+    entry_count: AtomicU32,
+    claims: (Sender<ClaimRequest>, Receiver<ClaimRequest>),
+    /// Set once a drain has started.
+    drain_started: Latch,
+    /// Set once the decision logic has returned [`Action::Exit`].
     exit: Latch,
 }
 
 impl Engine {
-    /// An engine at rest; [`Engine::run_timer`] must run for it to make progress.
-    pub fn new(options: Options, edges: Edges, metrics: Metrics) -> Engine {
+    /// Creates an engine. [`Engine::run_timer`] must run for it to make progress.
+    pub fn new(options: Options, dependencies: Dependencies, metrics: Metrics) -> Engine {
         let settings = Settings { revision: options.revision, site: options.site.clone() };
-        edges.log.rename(Names::of(&settings.site));
+        dependencies.log.rename(Names::of(&settings.site));
         Engine {
             home: options.home,
             clock: Clock::start(),
             entry: Entry::new(options),
             waiters: Waiters::default(),
             settings: RwLock::new(settings),
-            edges,
+            dependencies,
             metrics,
             alarm: Alarm::default(),
-            busy: Busy::default(),
-            sharers: AtomicU32::new(1),
-            claims: async_channel::bounded(CLAIMS),
-            begun: Latch::default(),
+            busy_workers: BusyWorkers::default(),
+            entry_count: AtomicU32::new(1),
+            claims: async_channel::bounded(CLAIM_QUEUE_CAPACITY),
+            drain_started: Latch::default(),
             exit: Latch::default(),
         }
     }
 
-    /// This process.
+    /// Returns the identity of this process.
     pub fn home(&self) -> Home {
         self.home
     }
 
-    /// The process's clock.
+    /// Returns the clock that all event times refer to.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The token that callers make identifiers with now.
+    /// Returns the home token with which callers currently create identifiers.
     pub fn token(&self) -> Token {
         self.entry.token()
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Settings {
         self.settings.read().clone()
     }
 
-    /// What is counted.
+    /// Returns the metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Callers that wait.
+    /// Returns the callers that wait for an answer.
     pub fn waiters(&self) -> &Waiters {
         &self.waiters
     }
 
-    /// The decision logic, for views of its state.
+    /// Returns the decision logic, for views of its state.
     pub fn entry(&self) -> &Entry {
         &self.entry
     }
 
-    /// Other entries with an open connection.
+    /// Returns the entries with an open connection.
     pub fn peers(&self) -> Vec<Home> {
-        self.edges.peers.connected()
+        self.dependencies.peers.connected()
     }
 
-    /// Gives up a connection that is being made. Returns whether there is none now.
-    pub(crate) fn abandon_peer(&self, peer: Home) -> bool {
-        self.edges.peers.abandon(peer)
+    /// Stops waiting for a connection to `peer`; see [`Peers::cancel_connect`].
+    pub(crate) fn cancel_connect(&self, peer: Home) -> bool {
+        self.dependencies.peers.cancel_connect(peer)
     }
 
-    /// Sends a message to a peer.
+    /// Counts a message and sends it to a peer.
     pub(crate) fn send(&self, to: Home, message: Message) {
-        self.metrics.sent(&message);
-        self.edges.peers.send(to, message);
+        self.metrics.record_sent(&message);
+        self.dependencies.peers.send(to, message);
     }
 
-    /// Brings the levels among the metrics up to date.
-    pub(crate) fn refresh_levels(&self) {
-        let levels = self.metrics.levels();
-        metrics::set(&levels.waiters, self.waiters.len() as u64);
-        metrics::set(&levels.links, self.peers().len() as u64);
-        metrics::set(&levels.dropped, self.edges.log.dropped());
+    /// Updates the gauges that are not maintained by events.
+    pub(crate) fn refresh_gauges(&self) {
+        let gauges = self.metrics.gauges();
+        metrics::set(&gauges.waiters, self.waiters.len() as u64);
+        metrics::set(&gauges.links, self.peers().len() as u64);
+        metrics::set(&gauges.dropped, self.dependencies.log.dropped());
     }
 
-    /// Whether a planned stop has begun.
-    pub fn draining(&self) -> bool {
-        self.begun.is_set()
+    /// Returns whether a drain has started.
+    pub fn is_draining(&self) -> bool {
+        self.drain_started.is_set()
     }
 
-    /// Claims that the logic wants made; each must be answered by [`Event::Claimed`].
-    pub(crate) fn claims(&self) -> Receiver<Wanted> {
+    /// Returns the queue of key claims that the logic requests. Each must be answered by
+    /// [`Event::Claimed`].
+    pub(crate) fn claims(&self) -> Receiver<ClaimRequest> {
         self.claims.1.clone()
     }
 
-    /// Returns once a planned stop has begun.
-    pub(crate) async fn drain_begun(&self) {
-        self.begun.wait().await;
+    /// Waits until a drain has started.
+    pub(crate) async fn drain_started(&self) {
+        self.drain_started.wait().await;
     }
 
-    /// Returns once the logic has finished a drain.
+    /// Waits until the decision logic has finished a drain.
     pub async fn exited(&self) {
         self.exit.wait().await;
     }
 
-    /// Workers that run tasks of this process.
-    pub(crate) fn busy(&self) -> &Busy {
-        &self.busy
+    /// Returns the workers that run tasks of this process.
+    pub(crate) fn busy_workers(&self) -> &BusyWorkers {
+        &self.busy_workers
     }
 
-    /// Where calls to endpoints go.
+    /// Returns the transport for calls to endpoints.
     pub(crate) fn transport(&self) -> &dyn Transport {
-        &*self.edges.transport
+        &*self.dependencies.transport
     }
 
-    /// Puts accepted settings in force. Older revisions than the current are ignored.
-    pub fn adopt(self: &Arc<Self>, revision: Revision, site: Arc<Site>) {
+    /// Puts accepted settings in force. Ignores revisions that are not newer than the current one.
+    pub fn apply_settings(self: &Arc<Self>, revision: Revision, site: Arc<Site>) {
         {
             let mut settings = self.settings.write();
             if revision <= settings.revision {
@@ -205,38 +206,38 @@
             }
             *settings = Settings { revision, site: site.clone() };
         }
-        metrics::set(&self.metrics.levels().revision, revision.0);
-        self.edges.log.rename(Names::of(&site));
+        metrics::set(&self.metrics.gauges().revision, revision.0);
+        self.dependencies.log.rename(Names::of(&site));
         self.post(Event::Settings { revision, site });
     }
 
-    /// Tells how many entries share the executors' connections.
-    pub fn share(&self, entries: u32) {
-        self.sharers.store(entries.max(1), Ordering::Relaxed);
+    /// Sets the number of entries that share the executors' connections.
+    pub fn set_entry_count(&self, entries: u32) {
+        self.entry_count.store(entries.max(1), Ordering::Relaxed);
     }
 
-    /// Starts a planned stop. Does nothing the second time.
+    /// Starts a drain. Does nothing if it has started already.
     pub fn drain(self: &Arc<Self>) {
-        if self.begun.set() {
+        if self.drain_started.set() {
             tracing::info!("draining");
             self.post(Event::Drain);
         }
     }
 
-    /// Hands an event to the logic and carries out what it wants done.
+    /// Passes an event to the decision logic and executes the resulting actions.
     pub fn post(self: &Arc<Self>, event: Event) {
         let now = self.clock.now();
-        let mut actions = Vec::with_capacity(ACTIONS);
+        let mut actions = Vec::with_capacity(ACTIONS_CAPACITY);
         failpoint!("before-admit", crate::failpoint::is_submission(&event));
         self.entry.handle(now, event, &mut actions);
         failpoint!("after-admit", crate::failpoint::admits(&actions));
         for action in actions {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         self.alarm.advance(self.entry.next_timer());
     }
 
-    /// Ticks whenever the logic's next timer is due. Never returns.
+    /// Posts a tick whenever the next timer of the logic expires. Never returns.
     pub async fn run_timer(self: Arc<Self>) {
         loop {
             let next = self.entry.next_timer();
@@ -251,7 +252,7 @@
         }
     }
 
-    fn carry_out(self: &Arc<Self>, now: Time, action: Action) {
+    fn execute(self: &Arc<Self>, now: Time, action: Action) {
         match action {
             Action::Start(start) => self.start(start),
             Action::Stop { attempt, endpoint } => self.stop(attempt, endpoint),
@@ -260,7 +261,7 @@
                 self.waiters.wake(waiter, Wake::Answer { id, answer });
             }
             Action::Status { waiter, status } => self.waiters.wake(waiter, Wake::Status(status)),
-            // `Config` asks, as it knows what is held and what is on its way.
+            // `Config` sends these requests, since it knows what is held and what is in transit.
             Action::Send { message: Message::SettingsWanted { .. }, .. } => {}
             Action::Send { to, message } => {
                 failpoint!("before-answer", crate::failpoint::answers(&message));
@@ -269,7 +270,7 @@
             }
             Action::Claim { waiter, firm, key, id, replaces, time_limit } => {
                 let until = now + time_limit;
-                self.claim(Wanted { waiter, firm, key, id, replaces, until });
+                self.claim(ClaimRequest { waiter, firm, key, id, replaces, until });
             }
             Action::Log(decision) => self.log(now, decision),
             Action::Exit => drop(self.exit.set()),
@@ -277,11 +278,11 @@
     }
 
     fn log(&self, now: Time, decision: Decision) {
-        self.metrics.decided(&decision);
-        self.edges.log.decide(now, decision);
+        self.metrics.record_decision(&decision);
+        self.dependencies.log.decide(now, decision);
     }
 
-    fn claim(self: &Arc<Self>, wanted: Wanted) {
+    fn claim(self: &Arc<Self>, wanted: ClaimRequest) {
         if let Err(full) = self.claims.0.try_send(wanted) {
             let waiter = full.into_inner().waiter;
             self.post_later(Event::Claimed { waiter, result: Claim::Out });
@@ -289,7 +290,7 @@
     }
 
     fn start(self: &Arc<Self>, start: Start) {
-        self.metrics.started();
+        self.metrics.record_start();
         let Some(call) = self.call(&start) else {
             let reply = Reply::NotSent;
             let elapsed = Span::ZERO;
@@ -297,19 +298,20 @@
             return self.post_later(Event::Report(report));
         };
         let worker = (call.place == Place::Workers).then_some(call.address);
-        worker.inspect(|worker| self.busy.start(*worker));
+        worker.inspect(|worker| self.busy_workers.start(*worker));
         let engine = self.clone();
         spawn(async move {
             failpoint!("before-send");
-            let report = convert::report(engine.edges.transport.call(call).await);
+            let report = convert::report(engine.dependencies.transport.call(call).await);
             failpoint!("after-report");
-            worker.inspect(|worker| engine.busy.end(*worker));
-            engine.metrics.ended(&report.reply);
+            worker.inspect(|worker| engine.busy_workers.end(*worker));
+            engine.metrics.record_end(&report.reply);
             engine.post(Event::Report(report));
         });
     }
 
-    /// The call for an attempt; `None` when its endpoint or service has left the settings.
+    /// Builds the call for an attempt. Returns `None` if its endpoint or service is no longer in
+    /// the settings.
     fn call(&self, start: &Start) -> Option<Call> {
         let site = self.settings.read().site.clone();
         let service = site.services.get(&start.submission.service)?;
@@ -329,26 +331,27 @@
         })
     }
 
-    /// Most connections that this process may hold to an endpoint. An executor's are shared evenly
-    /// between the entries, but for as many as it has slots, so that the one entry that places
-    /// tasks on it can use them all.
+    /// Returns the maximum connections of this process to an endpoint. An executor's connections
+    /// are divided evenly between the entries, but each entry may hold at least as many as the
+    /// executor has slots, so that the one entry that places tasks on it can use all of them.
     fn connections(&self, site: &Site, service: &Service, endpoint: EndpointId) -> u32 {
-        let Some(executor) = site.executors.get(&endpoint) else { return WORKER_CONNECTIONS };
+        let Some(executor) = site.executors.get(&endpoint) else { return MAX_WORKER_CONNECTIONS };
         let slots = executor.slots.unwrap_or(service.slots).0.min(service.connections);
-        let share = service.connections / self.sharers.load(Ordering::Relaxed);
+        let share = service.connections / self.entry_count.load(Ordering::Relaxed);
         share.max(slots).max(1)
     }
 
     fn stop(self: &Arc<Self>, attempt: AttemptId, endpoint: EndpointId) {
         let Some(address) = address(&self.settings.read().site, endpoint) else { return };
-        let transport = self.edges.transport.clone();
+        let transport = self.dependencies.transport.clone();
         spawn(async move {
-            // The attempt's own report tells what became of it.
+            // The report of the attempt itself contains its result.
             let _ = transport.stop(address, attempt).await;
         });
     }
 
-    /// Hands in an event that follows from an action, after the actions of the current one.
+    /// Posts an event that results from an action, after the remaining actions of the current
+    /// event.
     fn post_later(self: &Arc<Self>, event: Event) {
         let engine = self.clone();
         spawn(async move { engine.post(event) });
--- a/components/entry/src/failpoint.rs
+++ b/components/entry/src/failpoint.rs
@@ -1,10 +1,11 @@
-//! Named places where a test ends or stops the process. Without the feature `failpoints` they are
-//! no code at all.
+//! Failpoints: named places where a test kills or stops the process. Without the feature
+//! `failpoints` they compile to nothing.
 //!
-//! [`FILE`] names a file that arms one of them: `<name> <kill|stop> <n>` acts when the place is
-//! reached for the n-th time since the file was written, and removes the file before it acts.
+//! The environment variable `PRIMROSESTEP_FAILPOINT` names a file that arms one of them with the
+//! content `<name> <kill|stop> <n>`. The failpoint triggers when it is reached for the n-th time
+//! since the file was written, and removes the file before it acts.
 
-/// Acts if the place of this name is armed, and the condition holds where there is one.
+/// Triggers the failpoint of this name if it is armed and the optional condition holds.
 macro_rules! failpoint {
     ($name:literal) => {
         $crate::failpoint::failpoint!($name, true)
@@ -29,15 +30,16 @@
     use rustix::process::{Signal, getpid, kill_process};
     use std::{env, fs, path::PathBuf, sync::OnceLock, thread};
 
-    /// The environment variable that names the file.
+    /// Environment variable with the path of the arming file.
     const FILE: &str = "PRIMROSESTEP_FAILPOINT";
 
     static ARMED: OnceLock<Option<PathBuf>> = OnceLock::new();
 
-    /// What the file said when a place was last reached, and how often that one was.
+    /// Content of the file when the armed failpoint was last reached, and how often it was reached
+    /// with that content.
     static REACHED: Mutex<(String, u64)> = Mutex::new((String::new(), 0));
 
-    /// The place `name` is reached.
+    /// Triggers the failpoint `name` if it is armed and this is the n-th time.
     pub(crate) fn hit(name: &str) {
         let file = ARMED.get_or_init(|| env::var_os(FILE).map(PathBuf::from));
         let Some(file) = file else { return };
@@ -52,7 +54,7 @@
         };
         let wanted = words.next().and_then(|count| count.parse().ok()).unwrap_or(1);
         if count(&text) == wanted {
-            // It may be gone already.
+            // The test may have removed it already.
             let _ = fs::remove_file(file);
             act(signal);
         }
@@ -69,11 +71,11 @@
 
     fn act(signal: Signal) {
         kill_process(getpid(), signal).expect("a process may signal itself");
-        // A kill takes effect before this thread could go on; a stop ends with SIGCONT.
+        // SIGKILL takes effect before this thread continues; SIGSTOP lasts until SIGCONT.
         thread::yield_now();
     }
 
-    /// Whether an event brings a submission to this entry.
+    /// Returns whether an event contains a submission to this entry.
     pub(crate) fn is_submission(event: &Event) -> bool {
         let message = match event {
             Event::Message { message, .. } => message,
@@ -82,18 +84,18 @@
         matches!(message, Message::Submit { .. })
     }
 
-    /// Whether a submission was admitted.
+    /// Returns whether the actions admit a submission.
     pub(crate) fn admits(actions: &[Action]) -> bool {
         let admits = |action: &_| matches!(action, Action::Log(Decision::Admit { .. }));
         actions.iter().any(admits)
     }
 
-    /// Whether a message brings an answer to the entry that sent a request on.
+    /// Returns whether a message contains the answer for an entry that forwarded a request.
     pub(crate) fn answers(message: &Message) -> bool {
         matches!(message, Message::Answered { .. })
     }
 
-    /// Whether a message is a part of a handover.
+    /// Returns whether a message is part of a handover.
     pub(crate) fn hands_over(message: &Message) -> bool {
         matches!(message, Message::Handover(_))
     }
--- a/components/entry/src/folder.rs
+++ b/components/entry/src/folder.rs
@@ -1,72 +1,73 @@
-//! The settings' files that an entry holds, and which of them changed lately. Pure.
+//! The settings files that an entry holds, with a bounded history of which files changed in recent
+//! revisions. Does no I/O.
 
 use compact_str::CompactString;
 use settings::Files;
 use site::unit::Revision;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Most revisions before the held one that a delta may start from.
-const MAX_STEPS: usize = 64;
+/// Maximum number of earlier revisions that a delta can start from.
+const MAX_HISTORY_REVISIONS: usize = 64;
 
-/// Most names in the steps together.
-const MAX_NAMES: usize = 4_096;
+/// Maximum number of file names in the whole history.
+const MAX_HISTORY_NAMES: usize = 4_096;
 
-/// What makes one revision out of another.
+/// Changes from one revision to another.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Delta {
-    /// What it starts from; 0 when `files` are all files.
+    /// Revision that the delta applies to; 0 if `files` contains all files.
     pub base: Revision,
-    /// What it leads to.
+    /// Revision that results from applying the delta.
     pub revision: Revision,
-    /// Files that are new or differ.
+    /// Files that were added or changed.
     pub files: Files,
-    /// Names of files that are gone.
+    /// Names of removed files.
     pub removed: BTreeSet<CompactString>,
 }
 
 impl Delta {
-    /// Whether it has all files and needs no base.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the delta contains all files and needs no base.
+    pub fn is_snapshot(&self) -> bool {
         self.base == Revision(0)
     }
 }
 
-/// The step from one held revision to the next.
+/// One change of the held revision.
 #[derive(Clone, Debug)]
-struct Step {
+struct Change {
     base: Revision,
-    /// Files that were changed, added or removed.
+    /// Names of the files that were changed, added or removed.
     names: Vec<CompactString>,
 }
 
-/// The files of the highest revision that was heard of.
+/// The files of the highest revision that was received.
 #[derive(Clone, Debug, Default)]
 pub struct Folder {
     /// Never decreases.
     revision: Revision,
     files: Files,
-    /// How `revision` was reached, oldest first. Each step leads to the base of the next.
-    steps: VecDeque<Step>,
+    /// Recent changes, oldest first. Each results in the base of the next.
+    history: VecDeque<Change>,
 }
 
 impl Folder {
-    /// A folder of `revision`; 0 for files that were never accepted.
+    /// Creates a folder of `revision`, which is 0 for files that the platform never accepted.
     pub fn new(revision: Revision, files: Files) -> Folder {
-        Folder { revision, files, steps: VecDeque::new() }
+        Folder { revision, files, history: VecDeque::new() }
     }
 
-    /// The revision of the files.
+    /// Returns the revision of the files.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The files.
+    /// Returns the files by name.
     pub fn files(&self) -> &Files {
         &self.files
     }
 
-    /// Puts all files of a revision in the place of those held. Returns false, and changes
-    /// nothing, unless it is higher than the held one.
+    /// Replaces all files with those of a higher revision. Returns false and changes nothing if
+    /// `revision` is not higher than the held one.
     pub fn replace(&mut self, revision: Revision, files: Files) -> bool {
         if revision <= self.revision {
             return false;
@@ -75,14 +76,14 @@
         let names: BTreeSet<_> = self.files.keys().chain(files.keys()).filter(differs).collect();
         let names = names.into_iter().cloned().collect();
         self.files = files;
-        self.step(revision, names);
+        self.change(revision, names);
         true
     }
 
-    /// Applies a delta. Returns false, and changes nothing, unless it leads to a higher revision
-    /// and starts from the held one or from nothing.
+    /// Applies a delta. Returns false and changes nothing unless its revision is higher than the
+    /// held one and its base is the held revision or 0.
     pub fn apply(&mut self, delta: Delta) -> bool {
-        if delta.is_whole() {
+        if delta.is_snapshot() {
             return self.replace(delta.revision, delta.files);
         }
         if delta.revision <= self.revision || delta.base != self.revision {
@@ -91,20 +92,22 @@
         let names = delta.files.keys().chain(&delta.removed).cloned().collect();
         self.files.retain(|name, _| !delta.removed.contains(name));
         self.files.extend(delta.files);
-        self.step(delta.revision, names);
+        self.change(delta.revision, names);
         true
     }
 
-    /// What makes the held revision out of `have`: the whole folder when that is none of the last
-    /// few revisions. `None` when `have` is no lower than the held one.
-    pub fn since(&self, have: Revision) -> Option<Delta> {
+    /// Returns the delta from `have` to the held revision, or a snapshot of all files if the
+    /// history does not reach back to `have`. Returns `None` if `have` is not lower than the held
+    /// revision.
+    pub fn delta_since(&self, have: Revision) -> Option<Delta> {
         if have >= self.revision {
             return None;
         }
-        let Some(first) = self.steps.iter().position(|step| step.base == have) else {
-            return Some(self.whole());
+        let Some(first) = self.history.iter().position(|change| change.base == have) else {
+            return Some(self.snapshot());
         };
-        let names: BTreeSet<_> = self.steps.range(first..).flat_map(|step| &step.names).collect();
+        let names: BTreeSet<_> =
+            self.history.range(first..).flat_map(|change| &change.names).collect();
         let mut delta = Delta { base: have, revision: self.revision, ..Delta::default() };
         for name in names {
             match self.files.get(name) {
@@ -115,23 +118,24 @@
         Some(delta)
     }
 
-    fn whole(&self) -> Delta {
+    fn snapshot(&self) -> Delta {
         Delta { revision: self.revision, files: self.files.clone(), ..Delta::default() }
     }
 
-    /// Goes on to `revision`, in which the files of these `names` are others.
-    fn step(&mut self, revision: Revision, names: Vec<CompactString>) {
-        // Files that were never accepted are no base: others may hold different ones.
+    /// Sets the revision and adds the names of the changed files to the history.
+    fn change(&mut self, revision: Revision, names: Vec<CompactString>) {
+        // Files that were never accepted can't be a base: other entries may hold different ones.
         if self.revision > Revision(0) {
-            self.steps.push_back(Step { base: self.revision, names });
+            self.history.push_back(Change { base: self.revision, names });
         }
         self.revision = revision;
-        while self.steps.len() > MAX_STEPS || self.names() > MAX_NAMES {
-            self.steps.pop_front();
+        while self.history.len() > MAX_HISTORY_REVISIONS || self.history_names() > MAX_HISTORY_NAMES
+        {
+            self.history.pop_front();
         }
     }
 
-    fn names(&self) -> usize {
-        self.steps.iter().map(|step| step.names.len()).sum()
+    fn history_names(&self) -> usize {
+        self.history.iter().map(|change| change.names.len()).sum()
     }
 }
--- a/components/entry/src/latch.rs
+++ b/components/entry/src/latch.rs
@@ -1,11 +1,11 @@
-//! Something that happens once and that many wait for.
+//! One-shot event with any number of waiters.
 
 use async_channel::{Receiver, Sender};
 
-/// Open until it is set, then set for good.
+/// A latch that is set at most once and never reset.
 #[derive(Debug)]
 pub(crate) struct Latch {
-    /// Nothing is ever sent; closing the channel wakes all who wait.
+    /// Nothing is ever sent; closing the channel wakes all waiters.
     open: Sender<()>,
     waiting: Receiver<()>,
 }
@@ -18,17 +18,17 @@
 }
 
 impl Latch {
-    /// Sets it. Returns whether it was open.
+    /// Sets the latch. Returns whether it was not set before.
     pub(crate) fn set(&self) -> bool {
         self.open.close()
     }
 
-    /// Whether it is set.
+    /// Returns whether the latch is set.
     pub(crate) fn is_set(&self) -> bool {
         self.open.is_closed()
     }
 
-    /// Returns once it is set.
+    /// Waits until the latch is set.
     pub(crate) async fn wait(&self) {
         let _ = self.waiting.recv().await;
     }
--- a/components/entry/src/main.rs
+++ b/components/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry.
+//! The program `primrosestep-entry`: command line, signals and exit codes of the daemon.
 
 use async_signal::{Signal, Signals};
 use clap::Parser;
@@ -14,8 +14,8 @@
 };
 use telemetry::{Format, Level, Log, LogError};
 
-/// Runs one entry until it is told to stop by SIGTERM or SIGINT, then finishes what it has
-/// admitted and exits with 0.
+/// Runs one entry until it receives SIGTERM or SIGINT, then finishes what it has admitted and
+/// exits with 0.
 ///
 /// Exit codes: 0 stopped as planned; 1 the stop took longer than its limit; 2 the command line is
 /// wrong; 3 the settings or keys are wrong, or an address can't be used.
@@ -27,13 +27,13 @@
     settings: PathBuf,
 }
 
-/// Exit code of a stop that took too long.
-const OVERDUE: u8 = 1;
+/// Exit code after a stop that exceeded the drain limit.
+const EXIT_OVERDUE: u8 = 1;
 
-/// Exit code of a process that can't start.
-const NOT_STARTED: u8 = 3;
+/// Exit code of a process that failed to start.
+const EXIT_NOT_STARTED: u8 = 3;
 
-/// Why the daemon can't run.
+/// Error that prevents the daemon from running.
 #[derive(Debug, Display, Error, From)]
 enum Failure {
     #[display("{_0}")]
@@ -55,15 +55,15 @@
     let args = Args::parse();
     match run(&args.settings) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(OVERDUE),
+        Ok(false) => ExitCode::from(EXIT_OVERDUE),
         Err(failure) => {
             eprintln!("error: {failure}");
-            ExitCode::from(NOT_STARTED)
+            ExitCode::from(EXIT_NOT_STARTED)
         }
     }
 }
 
-/// Runs the daemon; false when its stop took too long.
+/// Runs the daemon. Returns false if its stop exceeded the drain limit.
 fn run(path: &Path) -> Result<bool, Failure> {
     let daemon = Daemon::load(path)?;
     spawn::set_threads(daemon.threads.workers);
@@ -76,14 +76,14 @@
 
 async fn serve(setup: Setup, mut signals: Signals) -> Result<bool, Failure> {
     let process = Process::start(setup).await?;
-    let told = async {
+    let signalled = async {
         while let Some(signal) = signals.next().await {
-            tracing::info!(?signal, "told to stop");
+            tracing::info!(?signal, "stop signal received");
             process.engine().drain();
         }
         std::future::pending().await
     };
-    let in_time = process.exited().or(told).await;
+    let in_time = process.exited().or(signalled).await;
     match in_time {
         true => {
             process.close().await;
@@ -94,7 +94,7 @@
     Ok(in_time)
 }
 
-/// Reads the files that the settings name.
+/// Reads the files that the daemon's settings refer to.
 fn prepare(daemon: Daemon, log: Log) -> Result<Setup, Failure> {
     let identity = Identity::load(&Files {
         authority: daemon.tls.authority.clone(),
--- a/components/entry/src/metrics.rs
+++ b/components/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an entry counts.
+//! The metrics of an entry.
 
 use dispatch::{Decision, Message, event::Reply};
 use opentelemetry::{
@@ -15,18 +15,18 @@
 };
 use telemetry::{Exporter, MetricsError};
 
-/// Bounds of the response time histogram, in seconds.
+/// Bucket bounds of the response time histogram, in seconds.
 const RESPONSE_BOUNDS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// Numbers that are read when the metrics are rendered.
+/// Values of the gauges, read when the metrics are rendered.
 #[derive(Debug, Default)]
-pub struct Levels {
-    /// Callers that wait.
+pub struct Gauges {
+    /// Callers that wait for an answer.
     pub waiters: AtomicU64,
-    /// Tasks queued here, at the last decision about one.
+    /// Tasks queued at this entry, as of the last decision about a task.
     pub queued: AtomicU64,
-    /// Connections to peers.
+    /// Open connections to peers.
     pub links: AtomicU64,
     /// Log lines dropped since the start.
     pub dropped: AtomicU64,
@@ -34,11 +34,11 @@
     pub revision: AtomicU64,
 }
 
-/// The instruments of one entry.
+/// The metric instruments of one entry.
 #[derive(Debug)]
 pub struct Metrics {
     exporter: Exporter,
-    levels: Arc<Levels>,
+    gauges: Arc<Gauges>,
     admissions: Counter<u64>,
     refusals: Counter<u64>,
     starts: Counter<u64>,
@@ -52,12 +52,12 @@
 }
 
 impl Metrics {
-    /// Instruments with an exporter of their own.
+    /// Creates the instruments with their own exporter.
     pub fn new() -> Result<Metrics, MetricsError> {
         let exporter = Exporter::new()?;
         let meter = exporter.meter();
-        let levels = Arc::new(Levels::default());
-        observe(&meter, &levels);
+        let gauges = Arc::new(Gauges::default());
+        observe(&meter, &gauges);
         let counter = |name, text| meter.u64_counter(name).with_description(text).build();
         Ok(Metrics {
             admissions: counter("admissions", "Submissions admitted"),
@@ -75,40 +75,40 @@
                 .with_boundaries(RESPONSE_BOUNDS.to_vec())
                 .build(),
             exporter,
-            levels,
+            gauges,
         })
     }
 
-    /// Numbers that are set rather than counted.
-    pub fn levels(&self) -> &Levels {
-        &self.levels
+    /// Returns the values of the gauges.
+    pub fn gauges(&self) -> &Gauges {
+        &self.gauges
     }
 
-    /// All metrics in Prometheus' text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<String, MetricsError> {
         self.exporter.render()
     }
 
-    /// A decision was made.
-    pub fn decided(&self, decision: &Decision) {
+    /// Updates counters and gauges for a decision.
+    pub fn record_decision(&self, decision: &Decision) {
         match decision {
             Decision::Admit { queued, .. } => {
                 self.admissions.add(1, &[]);
-                set(&self.levels.queued, u64::from(*queued));
+                set(&self.gauges.queued, u64::from(*queued));
             }
-            Decision::Place { queued, .. } => set(&self.levels.queued, u64::from(*queued)),
+            Decision::Place { queued, .. } => set(&self.gauges.queued, u64::from(*queued)),
             Decision::Retry { again: true, .. } => self.retries.add(1, &[]),
             _ => {}
         }
     }
 
-    /// An attempt was sent.
-    pub fn started(&self) {
+    /// Counts an attempt that was sent to an endpoint.
+    pub fn record_start(&self) {
         self.starts.add(1, &[]);
     }
 
-    /// An attempt ended.
-    pub fn ended(&self, reply: &Reply) {
+    /// Counts the end of an attempt.
+    pub fn record_end(&self, reply: &Reply) {
         let (name, wasted) = match reply {
             Reply::Done(_) => ("done", false),
             Reply::Failed(_) => ("failed", false),
@@ -120,12 +120,12 @@
         };
         self.ends.add(1, &[KeyValue::new("reply", name)]);
         if wasted {
-            self.waste(name);
+            self.record_wasted(name);
         }
     }
 
-    /// A caller got its answer after `span`.
-    pub fn answered(&self, answer: &Answer, span: Span) {
+    /// Records an answer that a caller received after `span`.
+    pub fn record_answer(&self, answer: &Answer, span: Span) {
         let outcome = match answer {
             Answer::Complete(_) => "complete",
             Answer::Failed(failure) => {
@@ -138,33 +138,33 @@
         self.response.record(seconds, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A message was handed to a peer's connection.
-    pub fn sent(&self, message: &Message) {
+    /// Counts a message that was sent to a peer.
+    pub fn record_sent(&self, message: &Message) {
         self.sent.add(1, &[KeyValue::new("kind", kind(message))]);
     }
 
-    /// A message came in.
-    pub fn received(&self, message: &Message) {
+    /// Counts a message that was received from a peer.
+    pub fn record_received(&self, message: &Message) {
         self.received.add(1, &[KeyValue::new("kind", kind(message))]);
     }
 
-    /// A message changed nothing.
-    pub fn waste(&self, kind: &'static str) {
+    /// Counts a message or attempt that had no effect.
+    pub fn record_wasted(&self, kind: &'static str) {
         self.wasted.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// The platform's store was called.
-    pub fn called(&self, call: &'static str, succeeded: bool) {
+    /// Counts a call to the platform's store.
+    pub fn record_platform_call(&self, call: &'static str, succeeded: bool) {
         let result = if succeeded { "ok" } else { "error" };
         self.platform.add(1, &[KeyValue::new("call", call), KeyValue::new("result", result)]);
     }
 }
 
-fn observe(meter: &Meter, levels: &Arc<Levels>) {
-    let gauge = |name, text, read: fn(&Levels) -> &AtomicU64| {
-        let levels = levels.clone();
+fn observe(meter: &Meter, gauges: &Arc<Gauges>) {
+    let gauge = |name, text, read: fn(&Gauges) -> &AtomicU64| {
+        let gauges = gauges.clone();
         let read = move |observer: &dyn opentelemetry::metrics::AsyncInstrument<u64>| {
-            observer.observe(read(&levels).load(Ordering::Relaxed), &[]);
+            observer.observe(read(&gauges).load(Ordering::Relaxed), &[]);
         };
         meter.u64_observable_gauge(name).with_description(text).with_callback(read).build();
     };
@@ -175,7 +175,7 @@
     gauge("settings_revision", "Revision of the settings in force", |l| &l.revision);
 }
 
-/// Sets a level.
+/// Sets the value of a gauge.
 pub fn set(level: &AtomicU64, value: u64) {
     level.store(value, Ordering::Relaxed);
 }
--- a/components/entry/src/network.rs
+++ b/components/entry/src/network.rs
@@ -1,6 +1,6 @@
-//! Connections to the other entries.
+//! Connections to the other entries, and messages that wait for a connection.
 
-use crate::{Config, Engine, Peers, registry::Meet, spawn::spawn};
+use crate::{Config, Engine, Peers, registry::Connector, spawn::spawn};
 use async_channel::Receiver;
 use dispatch::{Event, Message};
 use link::{Incoming, Node, Traffic};
@@ -16,70 +16,70 @@
     time::Duration,
 };
 
-/// Messages that wait for one peer's connection.
-const MAX_HELD: usize = 256;
+/// Maximum number of messages that wait for a connection to one peer; further ones are dropped.
+const MAX_PENDING_MESSAGES: usize = 256;
 
-/// Longest time that a message waits for a connection.
-const HELD_FOR: Duration = Duration::from_secs(1);
+/// Time until messages that wait for a connection are dropped.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time until the loss of a message to a peer that can't be found is told. Not at once, since the
-/// logic may send another in answer.
-const UNKNOWN_FOR: Duration = Duration::from_millis(100);
+/// Time until the decision logic is notified that a message to a peer of unknown address is lost.
+/// The delay keeps the logic from sending another message in response at once.
+const UNKNOWN_PEER_DELAY: Duration = Duration::from_millis(100);
 
-/// The node, and where entries without a connection are to be found.
+/// The node with its connections, and the addresses of entries without one.
 pub(crate) struct Network {
     me: Home,
     node: Node<Message>,
-    /// Where processes listen, as the registry or they themselves last said. Never forgets, as registrations may
-    /// lapse while the platform is out.
+    /// Listening addresses of processes, as last reported by the registry or by themselves. Never
+    /// pruned, since registrations may expire while the platform is unavailable.
     directory: Mutex<HashMap<EntryId, (Home, SocketAddr)>>,
-    /// Messages for peers whose connection is being made. A peer is here only while a task waits
-    /// to drop them.
-    held: Mutex<HashMap<Home, Vec<Message>>>,
+    /// Messages for peers whose connection is being established. Each key has a spawned task that
+    /// drops its messages after a timeout.
+    pending: Mutex<HashMap<Home, Vec<Message>>>,
     engine: OnceLock<Weak<Engine>>,
 }
 
 impl Network {
-    /// The connections of `node`, which is the process `me`.
+    /// Wraps `node`, which runs in the process `me`.
     pub(crate) fn new(me: Home, node: Node<Message>) -> Network {
         Network {
             me,
             node,
             directory: Mutex::default(),
-            held: Mutex::default(),
+            pending: Mutex::default(),
             engine: OnceLock::new(),
         }
     }
 
-    /// Names the engine that hears of lost messages.
+    /// Sets the engine that is notified of lost messages.
     pub(crate) fn bind(&self, engine: &Arc<Engine>) {
-        // Bound once, by the process that made both.
+        // Bound once, by the `Process` that creates both.
         let _ = self.engine.set(Arc::downgrade(engine));
     }
 
-    /// Where other entries find this one.
+    /// Returns the address on which other entries reach this one.
     pub(crate) fn address(&self) -> SocketAddr {
         self.node.address()
     }
 
-    /// Connects to entries that are known from elsewhere than the registry.
-    pub(crate) fn meet_seeds(&self, seeds: impl IntoIterator<Item = (EntryId, SocketAddr)>) {
+    /// Connects to the seed entries from the daemon's settings.
+    pub(crate) fn connect_seeds(&self, seeds: impl IntoIterator<Item = (EntryId, SocketAddr)>) {
         for (entry, address) in seeds {
             self.node.connect(entry, address);
         }
     }
 
-    /// What went in and out.
+    /// Returns the traffic counters.
     pub(crate) fn traffic(&self) -> Traffic {
         self.node.traffic()
     }
 
-    /// Closes all connections once queued messages have arrived.
+    /// Closes all connections once queued messages are delivered.
     pub(crate) async fn close(&self) {
         self.node.close().await;
     }
 
-    /// Takes in what the node reports until it is closed.
+    /// Handles connection events and messages until the node is closed.
     pub(crate) async fn receive(
         self: Arc<Self>,
         incoming: Receiver<Incoming<Message>>,
@@ -90,16 +90,16 @@
             match incoming {
                 Incoming::Up { peer } => {
                     tracing::info!(%peer, "connected");
-                    self.locate(peer);
+                    self.record_address(peer);
                     engine.post(Event::PeerUp { peer });
-                    self.release(peer);
+                    self.flush_pending(peer);
                 }
                 Incoming::Down { peer } => {
                     tracing::info!(%peer, "connection lost");
-                    config.lost(peer);
+                    config.remove_peer(peer);
                     engine.post(Event::PeerDown { peer });
                 }
-                Incoming::Message { from, message } => take(&engine, &config, from, message),
+                Incoming::Message { from, message } => route(&engine, &config, from, message),
                 Incoming::Failed { address, error } => {
                     tracing::debug!(%address, %error, "connection failed");
                 }
@@ -107,10 +107,10 @@
         }
     }
 
-    /// Sends what waited for a connection to `peer`.
-    fn release(&self, peer: Home) {
-        let held = self.held.lock().remove(&peer);
-        for message in held.into_iter().flatten() {
+    /// Sends the messages that waited for a connection to `peer`.
+    fn flush_pending(&self, peer: Home) {
+        let pending = self.pending.lock().remove(&peer);
+        for message in pending.into_iter().flatten() {
             self.transmit(peer, &message);
         }
     }
@@ -121,60 +121,62 @@
         }
     }
 
-    /// Keeps a message while a connection for it is made, if the peer can be found.
-    fn hold(&self, to: Home, message: Message) {
-        let mut held = self.held.lock();
-        let first = !held.contains_key(&to);
-        let messages = held.entry(to).or_default();
-        if messages.len() < MAX_HELD {
+    /// Queues a message and connects to its recipient if the address is known.
+    fn queue(&self, to: Home, message: Message) {
+        let mut pending = self.pending.lock();
+        let first = !pending.contains_key(&to);
+        let messages = pending.entry(to).or_default();
+        if messages.len() < MAX_PENDING_MESSAGES {
             messages.push(message);
         }
-        drop(held);
+        drop(pending);
         if first {
             let address = self.directory.lock().get(&to.entry).copied();
             match address.filter(|(home, _)| *home == to) {
                 Some((_, address)) => {
                     self.node.connect(to.entry, address);
-                    self.lose(to, HELD_FOR);
+                    self.expire_pending(to, CONNECT_TIMEOUT);
                 }
-                None => self.lose(to, UNKNOWN_FOR),
+                None => self.expire_pending(to, UNKNOWN_PEER_DELAY),
             }
         }
     }
 
-    /// Notes where a connected peer says that it listens.
-    fn locate(&self, peer: Home) {
+    /// Records the listening address that a connected peer reports.
+    fn record_address(&self, peer: Home) {
         if let Some(address) = self.node.addresses(peer).first() {
             self.directory.lock().insert(peer.entry, (peer, *address));
         }
     }
 
-    /// After a while, drops what still waits for `peer` and tells the logic.
-    fn lose(&self, peer: Home, after: Duration) {
+    /// After `after`, drops the messages that still wait for `peer` and notifies the decision
+    /// logic.
+    fn expire_pending(&self, peer: Home, after: Duration) {
         let Some(engine) = self.engine.get().and_then(Weak::upgrade) else { return };
         spawn(async move {
             Timer::after(after).await;
-            if engine.abandon_peer(peer) {
+            if engine.cancel_connect(peer) {
                 engine.post(Event::PeerDown { peer });
             }
         });
     }
 
-    /// The entries to keep connections to: all of this data centre, and a few of each other.
+    /// Returns the entries to stay connected to: all of this data centre, and a few of each other
+    /// data centre.
     fn neighbours(&self, entries: &[Entry]) -> Vec<EntryId> {
-        let mut zones: BTreeMap<_, Vec<Home>> = BTreeMap::new();
+        let mut data_centres: BTreeMap<_, Vec<Home>> = BTreeMap::new();
         for home in entries.iter().map(|entry| entry.home).chain([self.me]) {
-            zones.entry(home.data_centre).or_default().push(home);
+            data_centres.entry(home.data_centre).or_default().push(home);
         }
-        let ours = zones.remove(&self.me.data_centre).unwrap_or_default();
-        let across = zones.values().flat_map(|theirs| rendezvous::pairs(&ours, theirs));
+        let ours = data_centres.remove(&self.me.data_centre).unwrap_or_default();
+        let across = data_centres.values().flat_map(|theirs| rendezvous::pairs(&ours, theirs));
         let across = across.filter(|(own, _)| *own == self.me).map(|(_, peer)| peer);
         ours.iter().copied().chain(across).map(|home| home.entry).collect()
     }
 }
 
-impl Meet for Network {
-    fn meet(&self, entries: &[Entry]) {
+impl Connector for Network {
+    fn connect(&self, entries: &[Entry]) {
         let mut directory = self.directory.lock();
         for entry in entries {
             directory.insert(entry.home.entry, (entry.home, entry.quic));
@@ -191,7 +193,7 @@
     fn send(&self, to: Home, message: Message) {
         match self.node.send(to, &message) {
             Ok(()) => {}
-            Err(link::Error::NotConnected(_)) => self.hold(to, message),
+            Err(link::Error::NotConnected(_)) => self.queue(to, message),
             Err(error) => tracing::warn!(%to, %error, "message dropped"),
         }
     }
@@ -200,20 +202,20 @@
         self.node.peers()
     }
 
-    fn abandon(&self, peer: Home) -> bool {
-        let held = self.held.lock().remove(&peer);
-        held.is_some() || !self.node.peers().contains(&peer)
+    fn cancel_connect(&self, peer: Home) -> bool {
+        let pending = self.pending.lock().remove(&peer);
+        pending.is_some() || !self.node.peers().contains(&peer)
     }
 }
 
-/// Hands a message to whom it is for.
-fn take(engine: &Arc<Engine>, config: &Arc<Config>, from: Home, message: Message) {
-    engine.metrics().received(&message);
+/// Routes a message to the settings replication or to the decision logic.
+fn route(engine: &Arc<Engine>, config: &Arc<Config>, from: Home, message: Message) {
+    engine.metrics().record_received(&message);
     match message {
-        Message::SettingsWanted { have } => config.wanted(from, have),
-        Message::Settings(part) => config.received(from, part),
+        Message::SettingsWanted { have } => config.handle_request(from, have),
+        Message::Settings(part) => config.handle_part(from, part),
         Message::Heartbeat(beat) => {
-            config.heard(from, beat.revision, beat.draining);
+            config.handle_heartbeat(from, beat.revision, beat.draining);
             engine.post(Event::Message { from, message: Message::Heartbeat(beat) });
         }
         message => engine.post(Event::Message { from, message }),
--- a/components/entry/src/overview.rs
+++ b/components/entry/src/overview.rs
@@ -1,4 +1,4 @@
-//! Views for operators.
+//! Renders the views for operators as JSON.
 
 use crate::Engine;
 use dispatch::entry::{JobView, PeerView};
@@ -6,7 +6,7 @@
 use server::backend::Overview;
 use site::{Site, id::DataCentreId};
 
-/// The view `what` of an entry's state.
+/// Renders the view `what` of an entry's state.
 pub(crate) fn render(engine: &Engine, what: Overview) -> Value {
     let settings = engine.settings();
     let site = &settings.site;
--- a/components/entry/src/parts.rs
+++ b/components/entry/src/parts.rs
@@ -1,4 +1,4 @@
-//! Deltas of the settings in messages that fit into a frame. Pure.
+//! Splits settings deltas into parts that fit into a frame, and reassembles them. Does no I/O.
 
 use crate::folder::Delta;
 use bytes::Bytes;
@@ -8,14 +8,14 @@
 use site::id::Home;
 use std::mem;
 
-/// Most bytes of names and contents in one part. A part with a single larger file has more, and
-/// fits into a frame nonetheless.
-pub const PART_BYTES: usize = 256 << 10;
+/// Maximum bytes of file names and contents in one part. A part that consists of one larger file
+/// exceeds this and still fits into a frame.
+pub const MAX_PART_BYTES: usize = 256 << 10;
 
-/// Bytes that a file or name takes besides its text, at most.
+/// Upper bound of the encoding overhead of a file or name, in bytes.
 const OVERHEAD: usize = 16;
 
-/// Splits a delta into parts, in the order in which they must be sent; at least one.
+/// Splits a delta into one or more parts, in the order in which they must be sent.
 pub fn split(delta: Delta) -> Vec<Settings> {
     let mut splitter = Splitter::default();
     for (name, text) in delta.files {
@@ -42,14 +42,14 @@
 struct Splitter {
     full: Vec<Settings>,
     open: Settings,
-    /// In `open`.
+    /// Size of `open` so far.
     bytes: usize,
 }
 
 impl Splitter {
-    /// Closes the open part if `bytes` more would make it too long.
+    /// Completes the open part if `bytes` more would exceed [`MAX_PART_BYTES`].
     fn make_room(&mut self, bytes: usize) {
-        if self.bytes > 0 && self.bytes + bytes > PART_BYTES {
+        if self.bytes > 0 && self.bytes + bytes > MAX_PART_BYTES {
             self.full.push(mem::take(&mut self.open));
             self.bytes = 0;
         }
@@ -57,20 +57,20 @@
     }
 }
 
-/// What became of a part.
+/// Result of adding a part to a [`Reassembly`].
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Joined {
-    /// The delta is complete.
+pub enum Reassembled {
+    /// The part completes the delta.
     Complete(Delta),
-    /// More parts must follow.
+    /// More parts of the delta are missing.
     Partial,
-    /// The part does not follow the one before, or there are too many.
-    Stray,
+    /// The part was dropped: it does not follow the previous one, or the delta is too large.
+    Dropped,
 }
 
-/// The parts of one delta so far. Holds one delta at a time, so that its size is bounded.
+/// Collects the parts of a delta. Holds one delta at a time, which bounds its memory.
 #[derive(Clone, Debug, Default)]
-pub struct Assembly {
+pub struct Reassembly {
     partial: Option<Partial>,
 }
 
@@ -82,11 +82,12 @@
     delta: Delta,
 }
 
-impl Assembly {
-    /// Adds a part. A first part takes the place of another delta unless that is newer.
-    pub fn join(&mut self, from: Home, part: Settings) -> Joined {
+impl Reassembly {
+    /// Adds a part. The first part of a delta replaces an incomplete delta from another peer unless
+    /// that one has the same or a higher revision.
+    pub fn push(&mut self, from: Home, part: Settings) -> Reassembled {
         if part.part == 0 && part.last {
-            return Joined::Complete(delta(part));
+            return Reassembled::Complete(delta(part));
         }
         if part.part == 0 && !self.has_newer(from, &part) {
             let (base, revision) = (part.base, part.revision);
@@ -95,22 +96,22 @@
         }
         let Some(partial) = self.partial.as_mut().filter(|found| found.precedes(from, &part))
         else {
-            return Joined::Stray;
+            return Reassembled::Dropped;
         };
         let last = part.last;
         partial.add(part);
         if partial.is_too_large() {
             self.partial = None;
-            return Joined::Stray;
+            return Reassembled::Dropped;
         }
         match self.partial.take_if(|_| last) {
-            Some(complete) => Joined::Complete(complete.delta),
-            None => Joined::Partial,
+            Some(complete) => Reassembled::Complete(complete.delta),
+            None => Reassembled::Partial,
         }
     }
 
-    /// Forgets what a peer has sent in part.
-    pub fn lost(&mut self, peer: Home) {
+    /// Discards the incomplete delta of a peer.
+    pub fn remove_peer(&mut self, peer: Home) {
         self.partial.take_if(|partial| partial.from == peer);
     }
 
--- a/components/entry/src/peers.rs
+++ b/components/entry/src/peers.rs
@@ -1,17 +1,18 @@
-//! The edge of the process towards other entries.
+//! Interface between the engine and the connections to other entries.
 
 use dispatch::Message;
 use site::id::Home;
 
 /// Sends messages to other entries.
 pub trait Peers: Send + Sync {
-    /// Hands a message to the connection to `to`, in the order of the calls. Never waits. A peer
-    /// without a connection gets one if it can be found.
+    /// Queues a message on the connection to `to`, in the order of the calls. Does not block. If
+    /// there is no connection and the peer's address is known, one is established.
     fn send(&self, to: Home, message: Message);
 
-    /// Other entries with an open connection.
+    /// Returns the entries with an open connection.
     fn connected(&self) -> Vec<Home>;
 
-    /// Gives up a connection that is being made. Returns whether there is none now.
-    fn abandon(&self, peer: Home) -> bool;
+    /// Stops waiting for a connection to `peer` and drops the messages queued for it. Returns
+    /// whether there were such messages or there is no connection.
+    fn cancel_connect(&self, peer: Home) -> bool;
 }
--- a/components/entry/src/process.rs
+++ b/components/entry/src/process.rs
@@ -1,11 +1,11 @@
-//! A whole entry: engine, interface, connections, and what follows the platform.
+//! Runs a whole entry: engine, HTTP API, connections to peers, and watches of the platform.
 
 use crate::{
-    Backend, Config, Edges, Engine, claims,
+    Backend, Config, Dependencies, Engine, claims,
     failpoint::failpoint,
     metrics::Metrics,
     network::Network,
-    registry::{self, Meet},
+    registry::{self, Connector},
     spawn::spawn,
     usage,
 };
@@ -30,40 +30,40 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use telemetry::{Log, MetricsError};
 
-/// Bytes of answers that are kept for callers who come back.
-const ANSWER_BYTES: usize = 64 << 20;
+/// Maximum bytes of answers that are kept for callers that resubmit or fetch.
+const ANSWER_CACHE_BYTES: usize = 64 << 20;
 
-/// Longest time that a stop waits for the end of its registration.
-const LEAVE_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum time that a stop waits until the entry is unregistered.
+const UNREGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an entry is started with.
+/// Configuration of an entry.
 #[derive(Debug)]
 pub struct Setup {
     /// The daemon's settings.
     pub daemon: Daemon,
-    /// Proves which entry this is.
+    /// TLS identity of the entry.
     pub identity: Identity,
-    /// Digest of its certificate.
+    /// Digest of the entry's certificate.
     pub certificate: Digest,
-    /// Settings to start with; empty for none.
+    /// Initial settings files, replaced by any accepted ones; empty for none.
     pub files: Files,
-    /// The log.
+    /// The log of decisions and diagnostics.
     pub log: Log,
 }
 
-/// Why an entry can't start.
+/// Error that prevents an entry from starting.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// The settings to start with are wrong.
+    /// The initial settings are invalid.
     #[display("{_0}")]
     Settings(settings::Report),
-    /// The metrics can't be set up.
+    /// The metrics exporter can't be created.
     #[display("{_0}")]
     Metrics(MetricsError),
-    /// The address for other entries can't be used.
+    /// The address for other entries can't be bound.
     #[display("{_0}")]
     Link(link::Error),
-    /// The address for callers can't be used.
+    /// The address for callers can't be bound.
     #[display("{_0}")]
     Server(server::listen::BindError),
 }
@@ -73,32 +73,32 @@
     engine: Arc<Engine>,
     server: Server,
     network: Arc<Network>,
-    /// Closed once the registration has ended.
+    /// Closed once the entry is no longer registered.
     registered: Receiver<()>,
     drain_limit: Duration,
 }
 
 impl Process {
-    /// Starts an entry. It is ready once it has settings.
+    /// Starts an entry. It becomes ready once it has settings.
     ///
     /// # Errors
     ///
-    /// When its settings are wrong or its addresses can't be used.
+    /// When its settings are invalid or its addresses can't be bound.
     pub async fn start(setup: Setup) -> Result<Process, StartError> {
         let daemon = setup.daemon;
         let home = home(&daemon);
-        let (site, revision) = initial(&setup.files)?;
+        let (site, revision) = initial_site(&setup.files)?;
         let mut link = link::Options::new(home, daemon.quic, setup.identity);
         link.backlog = daemon.limits.waiters as usize;
         let (node, incoming) = Node::start(link)?;
         let network = Arc::new(Network::new(home, node));
-        let edges = Edges {
+        let dependencies = Dependencies {
             transport: Arc::new(http::Client::new(home.incarnation, http::Options::default())),
             peers: network.clone(),
             log: setup.log,
         };
         let options = options(&daemon, home, site, revision);
-        let engine = Arc::new(Engine::new(options, edges, Metrics::new()?));
+        let engine = Arc::new(Engine::new(options, dependencies, Metrics::new()?));
         network.bind(&engine);
         let store = Client::new(gateway::Options::new(daemon.platform.clone()));
         let store: Arc<dyn Store> = Arc::new(store);
@@ -106,9 +106,9 @@
         spawn(engine.clone().run_timer());
         spawn(network.clone().receive(incoming, engine.clone(), config.clone()));
         let seeds = daemon.seeds.iter().map(|(name, at)| (EntryId::of(name), *at));
-        network.meet_seeds(seeds);
+        network.connect_seeds(seeds);
         let backend = Arc::new(Backend::new(engine.clone()));
-        let server = Server::start(daemon.http, backend, interface(&daemon)).await?;
+        let server = Server::start(daemon.http, backend, server_options(&daemon)).await?;
         let entry = Entry {
             home,
             data_centre: daemon.data_centre.clone(),
@@ -116,43 +116,43 @@
             quic: network.address(),
             certificate: setup.certificate,
         };
-        follow(&engine, &store, &network, config);
+        spawn_tasks(&engine, &store, &network, config);
         let registered = register(&engine, &store, entry);
         tracing::info!(%home, http = %server.address(), quic = %network.address(), "started");
         let drain_limit = Duration::from_micros(daemon.limits.drain.0);
         Ok(Process { engine, server, network, registered, drain_limit })
     }
 
-    /// The engine.
+    /// Returns the engine, which runs the decision logic.
     pub fn engine(&self) -> &Arc<Engine> {
         &self.engine
     }
 
-    /// Where callers and operators reach it.
+    /// Returns the address of the HTTP API for callers and operators.
     pub fn http(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where other entries reach it.
+    /// Returns the QUIC address for other entries.
     pub fn quic(&self) -> SocketAddr {
         self.network.address()
     }
 
-    /// What other entries sent and were sent, since the start.
+    /// Returns the traffic exchanged with other entries since the start.
     pub fn traffic(&self) -> Traffic {
         self.network.traffic()
     }
 
-    /// Returns once a planned stop has finished, or after its time limit; false in that case.
+    /// Waits until a planned stop has finished. Returns false if it exceeds the drain limit.
     pub async fn exited(&self) -> bool {
         let exited = async {
             self.engine.exited().await;
             true
         };
-        exited.or(self.overdue()).await
+        exited.or(self.exceeds_drain_limit()).await
     }
 
-    /// Closes the interface and all connections, once requests in progress have their answers.
+    /// Closes the HTTP API and all connections, once requests in progress are answered.
     pub async fn close(self) {
         failpoint!("before-exit");
         self.server.stop().await;
@@ -160,40 +160,41 @@
             let _ = self.registered.recv().await;
         };
         let late = async {
-            Timer::after(LEAVE_LIMIT).await;
+            Timer::after(UNREGISTER_TIMEOUT).await;
         };
         left.or(late).await;
         self.network.close().await;
     }
 
-    /// Returns false when a planned stop has taken too long.
-    async fn overdue(&self) -> bool {
-        self.engine.drain_begun().await;
+    /// Returns false once a planned stop has exceeded the drain limit.
+    async fn exceeds_drain_limit(&self) -> bool {
+        self.engine.drain_started().await;
         Timer::after(self.drain_limit).await;
         false
     }
 }
 
-/// Starts everything that follows the platform.
-fn follow(
+/// Spawns the tasks that watch the platform or write to it.
+fn spawn_tasks(
     engine: &Arc<Engine>,
     store: &Arc<dyn Store>,
     network: &Arc<Network>,
     config: Arc<Config>,
 ) {
-    let meet: Arc<dyn Meet> = network.clone();
-    spawn(registry::follow(engine.clone(), store.clone(), meet));
-    spawn(registry::follow_vms(engine.clone(), store.clone()));
+    let connector: Arc<dyn Connector> = network.clone();
+    spawn(registry::watch_entries(engine.clone(), store.clone(), connector));
+    spawn(registry::watch_vms(engine.clone(), store.clone()));
     spawn(usage::run(engine.clone()));
     spawn(claims::run(engine.clone(), store.clone()));
-    spawn(config.clone().enforce());
+    spawn(config.clone().run_apply());
     spawn(async move {
         config.fetch().await;
         config.run().await;
     });
 }
 
-/// Registers the entry. The channel closes once the registration has ended.
+/// Spawns the task that keeps the entry registered. The returned channel closes once it has
+/// unregistered.
 fn register(engine: &Arc<Engine>, store: &Arc<dyn Store>, entry: Entry) -> Receiver<()> {
     let (ended, registered) = async_channel::bounded(1);
     let keep = registry::keep(engine.clone(), store.clone(), entry);
@@ -212,9 +213,9 @@
     }
 }
 
-/// The settings to start with. Their revision is below every accepted one, so that these replace
-/// them.
-fn initial(files: &Files) -> Result<(Site, Revision), settings::Report> {
+/// Parses the initial settings. Their revision is lower than every accepted one, so accepted
+/// settings always replace them.
+fn initial_site(files: &Files) -> Result<(Site, Revision), settings::Report> {
     match files.is_empty() {
         true => Ok((Site::default(), Revision(0))),
         false => Ok((settings::parse(files)?.site, Revision(0))),
@@ -229,12 +230,12 @@
         site: Arc::new(site),
         revision,
         membership: membership::Options::default(),
-        answer_bytes: ANSWER_BYTES,
+        answer_bytes: ANSWER_CACHE_BYTES,
         slots_per_lead: SLOTS_PER_LEAD,
     }
 }
 
-fn interface(daemon: &Daemon) -> server::Options {
+fn server_options(daemon: &Daemon) -> server::Options {
     let limits = &daemon.limits;
     server::Options {
         waiters: limits.waiters as usize,
--- a/components/entry/src/timer.rs
+++ b/components/entry/src/timer.rs
@@ -1,4 +1,4 @@
-//! Wakes the decision logic when its next timer is due.
+//! Sleeps until the next timer of the decision logic.
 
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -9,10 +9,10 @@
     time::{Duration, Instant},
 };
 
-/// Shortest time between two ticks.
-const RESOLUTION: Duration = Duration::from_micros(200);
+/// Minimum time between two ticks.
+const MIN_TICK_INTERVAL: Duration = Duration::from_micros(200);
 
-/// The time that the timer task sleeps until.
+/// Deadline that the timer task sleeps until, which others may move forward.
 #[derive(Debug)]
 pub(crate) struct Alarm {
     armed: AtomicU64,
@@ -26,16 +26,16 @@
 }
 
 impl Alarm {
-    /// Wakes the sleeper when `next` is earlier than what it sleeps until.
+    /// Wakes the timer task if `next` is earlier than the time that it sleeps until.
     pub(crate) fn advance(&self, next: Time) {
         if next.0 < self.armed.load(Ordering::SeqCst) {
-            // A full channel wakes it as well.
+            // If the channel is full, a wake-up is pending already.
             let _ = self.earlier.0.try_send(());
         }
     }
 
-    /// Notes what the sleeper will sleep until. It must ask for the next timer again afterwards,
-    /// since a change just before this was not signalled.
+    /// Records the time that the timer task is about to sleep until. The task must read the next
+    /// timer again afterwards, since a change just before this call was not signalled.
     pub(crate) fn arm(&self, next: Time) {
         self.armed.store(next.0, Ordering::SeqCst);
     }
@@ -44,7 +44,7 @@
     pub(crate) async fn sleep(&self, due: Option<Instant>) {
         let expire = async {
             match due {
-                Some(due) => drop(Timer::at(due.max(Instant::now() + RESOLUTION)).await),
+                Some(due) => drop(Timer::at(due.max(Instant::now() + MIN_TICK_INTERVAL)).await),
                 None => std::future::pending().await,
             }
         };
--- a/components/entry/src/usage.rs
+++ b/components/entry/src/usage.rs
@@ -1,4 +1,4 @@
-//! Measured usage of the tasks that run on workers.
+//! Polls workers for the measured resource usage of running tasks.
 
 use crate::Engine;
 use dispatch::Event;
@@ -6,23 +6,23 @@
 use smol::Timer;
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-/// Time between two questions to a worker that runs tasks of this process.
-const INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two rounds of polling the workers that run tasks of this process.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Workers that run tasks of this process.
+/// Set of workers that run tasks of this process.
 #[derive(Debug, Default)]
-pub(crate) struct Busy {
-    /// Running attempts by worker; none is zero.
+pub(crate) struct BusyWorkers {
+    /// Number of running attempts by worker address, never zero.
     workers: Mutex<BTreeMap<SocketAddr, u32>>,
 }
 
-impl Busy {
-    /// An attempt was sent to `worker`.
+impl BusyWorkers {
+    /// Counts an attempt that was sent to `worker`.
     pub(crate) fn start(&self, worker: SocketAddr) {
         *self.workers.lock().entry(worker).or_default() += 1;
     }
 
-    /// An attempt at `worker` has ended.
+    /// Counts the end of an attempt on `worker`.
     pub(crate) fn end(&self, worker: SocketAddr) {
         let mut workers = self.workers.lock();
         let Some(running) = workers.get_mut(&worker) else { return };
@@ -32,22 +32,22 @@
         }
     }
 
-    fn all(&self) -> Vec<SocketAddr> {
+    fn addresses(&self) -> Vec<SocketAddr> {
         self.workers.lock().keys().copied().collect()
     }
 }
 
-/// Asks the busy workers for their measurements, one after another. Never returns.
+/// Polls the busy workers for their measurements, one after another. Never returns.
 pub(crate) async fn run(engine: Arc<Engine>) {
     loop {
-        Timer::after(INTERVAL).await;
-        for worker in engine.busy().all() {
-            ask(&engine, worker).await;
+        Timer::after(POLL_INTERVAL).await;
+        for worker in engine.busy_workers().addresses() {
+            poll(&engine, worker).await;
         }
     }
 }
 
-async fn ask(engine: &Arc<Engine>, worker: SocketAddr) {
+async fn poll(engine: &Arc<Engine>, worker: SocketAddr) {
     let Some(usage) = engine.transport().usage(worker).await else { return };
     let own = engine.home().incarnation;
     for task in usage.tasks.iter().filter(|task| task.attempt.incarnation == own) {
--- a/components/entry/src/machines.rs
+++ b/components/entry/src/vms.rs
@@ -1,4 +1,5 @@
-//! What the platform's lagging lists say of entries and endpoints. Pure.
+//! Derives the state of entries and endpoints from the platform's list of VMs, which may lag
+//! behind. Does no I/O.
 
 use platform::vms::{State, Vm};
 use site::{
@@ -10,26 +11,26 @@
     net::{IpAddr, SocketAddr},
 };
 
-/// VMs by name.
+/// The platform's list of VMs, by name.
 pub type Vms = BTreeMap<String, Vm>;
 
-/// What changed for the decision logic.
+/// State that the decision logic is notified of.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Changes {
-    /// Entries whose VM was on the list and no longer is.
+    /// Entries whose VM was listed before and no longer is.
     pub gone: Vec<EntryId>,
-    /// Endpoints that the list marks as leaving.
+    /// Endpoints on VMs that the list marks as leaving.
     pub leaving: Vec<EndpointId>,
 }
 
-/// Remembers which VMs the list has held, as a VM that it does not hold yet is not gone.
+/// Remembers which VMs were ever listed: a VM that is not listed yet is not gone.
 #[derive(Debug, Default)]
-pub struct Machines {
+pub struct VmHistory {
     seen: BTreeSet<EntryId>,
 }
 
-impl Machines {
-    /// Takes notice of the whole list.
+impl VmHistory {
+    /// Compares the whole list with the VMs seen before.
     pub fn update(&mut self, vms: &Vms, site: &Site) -> Changes {
         let listed: BTreeSet<EntryId> = vms.keys().map(|name| EntryId::of(name)).collect();
         let gone = self.seen.difference(&listed).copied().collect();
@@ -38,22 +39,22 @@
     }
 }
 
-/// Endpoints that bear the name of a leaving VM or stand at its address.
+/// Returns the endpoints that have the name or the address of a leaving VM.
 fn leaving(vms: &Vms, site: &Site) -> Vec<EndpointId> {
     let leaving: Vec<_> = vms.iter().filter(|(_, vm)| vm.state == State::Leaving).collect();
-    let stands_on = |name: &str, address: SocketAddr| {
+    let is_on = |name: &str, address: SocketAddr| {
         leaving.iter().any(|(vm, at)| *vm == name || same_host(at.address, address))
     };
     let executors = site.executors.iter().map(|(id, e)| (*id, e.name.as_str(), e.address));
     let workers = site.workers.iter().map(|(id, w)| (*id, w.name.as_str(), w.address));
     executors
         .chain(workers)
-        .filter(|(_, name, address)| stands_on(name, *address))
+        .filter(|(_, name, address)| is_on(name, *address))
         .map(|(id, _, _)| id)
         .collect()
 }
 
-/// Whether a VM's address is an endpoint's. Loopback addresses name no VM.
+/// Returns whether an endpoint's address is that of the VM. Loopback addresses identify no VM.
 fn same_host(vm: IpAddr, endpoint: SocketAddr) -> bool {
     vm == endpoint.ip() && !vm.is_loopback()
 }
--- a/components/entry/src/waiters.rs
+++ b/components/entry/src/waiters.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for answers.
+//! Table of the callers that wait for an answer.
 
 use dispatch::action::Status;
 use parking_lot::Mutex;
@@ -14,29 +14,29 @@
     },
 };
 
-/// Shards of the map, a power of two.
+/// Number of shards of the map; a power of two.
 const SHARDS: usize = 16;
 
-/// What a waiter is woken with.
+/// Result that is delivered to a waiter.
 #[derive(Clone, Debug)]
 pub enum Wake {
-    /// The final answer.
+    /// The final answer to a submission.
     Answer {
-        /// The submission that it belongs to.
+        /// The answered submission.
         id: SubmissionId,
-        /// Complete or failed.
+        /// The complete answer or the failure.
         answer: Arc<Answer>,
     },
-    /// How far the submission has come.
+    /// Progress of the submission; `None` if it is unknown here or belongs to another firm.
     Status(Option<Status>),
 }
 
 type Shard = Mutex<HashMap<WaiterId, async_channel::Sender<Wake>>>;
 
-/// Waiters by identifier, in shards.
+/// Waiters by identifier, in a sharded map.
 #[derive(Debug)]
 pub struct Waiters {
-    /// Each waiter is in the shard of its identifier's low bits.
+    /// The low bits of a waiter's identifier select its shard.
     shards: Vec<Shard>,
     next: AtomicU64,
 }
@@ -49,39 +49,39 @@
 }
 
 impl Waiters {
-    /// An identifier that no one waits under.
-    pub fn allot(&self) -> WaiterId {
+    /// Allocates an identifier without registering a waiter.
+    pub fn allocate_id(&self) -> WaiterId {
         WaiterId(self.next.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// A new waiter and where it is woken.
-    pub fn open(&self) -> (WaiterId, async_channel::Receiver<Wake>) {
-        let waiter = self.allot();
+    /// Registers a waiter. Returns its identifier and the channel that delivers its result.
+    pub fn register(&self) -> (WaiterId, async_channel::Receiver<Wake>) {
+        let waiter = self.allocate_id();
         let (wake, woken) = async_channel::bounded(1);
         self.shard(waiter).lock().insert(waiter, wake);
         (waiter, woken)
     }
 
-    /// Wakes a waiter. Nothing happens when it has gone.
+    /// Delivers a result to a waiter and removes it. Does nothing if the waiter is gone.
     pub fn wake(&self, waiter: WaiterId, with: Wake) {
         let sender = self.shard(waiter).lock().remove(&waiter);
         if let Some(sender) = sender {
-            // Fails only when the receiver was dropped.
+            // Fails only if the receiver was dropped.
             let _ = sender.try_send(with);
         }
     }
 
-    /// Forgets a waiter and tells whether it was still waiting.
-    pub fn forget(&self, waiter: WaiterId) -> bool {
+    /// Removes a waiter. Returns whether it was still waiting.
+    pub fn remove(&self, waiter: WaiterId) -> bool {
         self.shard(waiter).lock().remove(&waiter).is_some()
     }
 
-    /// How many wait.
+    /// Returns the number of waiters.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().len()).sum()
     }
 
-    /// Whether no one waits.
+    /// Returns whether there are no waiters.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/components/entry/tests/faults.rs
+++ b/components/entry/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Keys, lost answers of the platform, and entries that die.
+//! Idempotency keys, lost responses of the platform, and killed entries.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use smol::future::zip;
 use standin::ledger::Step;
 use std::time::Duration;
-use support::World;
+use support::Deployment;
 use uuid::Uuid;
 
 const PATH: &str = "/v1/requests/templating";
@@ -16,9 +16,9 @@
 
 #[test]
 fn one_key_at_two_entries_runs_once() {
-    let world = World::new([2, 0]);
-    let one = world.entry("cut-entry-1", "cutting");
-    let other = world.entry("cut-entry-2", "cutting");
+    let deployment = Deployment::new([2, 0]);
+    let one = deployment.entry("cut-entry-1", "cutting");
+    let other = deployment.entry("cut-entry-2", "cutting");
     smol::block_on(async {
         one.ready(1).await;
         other.ready(1).await;
@@ -33,51 +33,51 @@
             assert_eq!(first.id, second.id);
         }
     });
-    assert_eq!(world.ledger.count(Step::Start), 5);
+    assert_eq!(deployment.ledger.count(Step::Start), 5);
 }
 
 #[test]
 fn a_lost_answer_of_the_platform_loses_no_claim() {
-    let world = World::new([1, 0]);
-    let entry = world.entry("cut-entry-1", "cutting");
+    let deployment = Deployment::new([1, 0]);
+    let entry = deployment.entry("cut-entry-1", "cutting");
     smol::block_on(async {
         entry.ready(0).await;
-        world.platform.lose_answers(2);
+        deployment.platform.lose_answers(2);
         let headers = [("idempotency-key", "bale-1")];
         for _ in 0..2 {
             let reply = entry.send("POST", PATH, &headers, BODY).await;
             assert_eq!(reply.status, 200, "{reply:?}");
         }
     });
-    assert_eq!(world.ledger.count(Step::Start), 1);
+    assert_eq!(deployment.ledger.count(Step::Start), 1);
 }
 
 #[test]
 fn without_the_platform_new_keys_are_refused_and_ids_still_work() {
-    let world = World::new([1, 0]);
-    let entry = world.entry("cut-entry-1", "cutting");
+    let deployment = Deployment::new([1, 0]);
+    let entry = deployment.entry("cut-entry-1", "cutting");
     smol::block_on(async {
         entry.ready(0).await;
-        world.platform.down(true);
+        deployment.platform.down(true);
         let headers = [("idempotency-key", "bale-1"), ("primrosestep-first", "true")];
         let refused = entry.send("POST", PATH, &headers, BODY).await;
         assert_eq!(refused.status, 503, "{refused:?}");
         assert_eq!(refused.outcome.as_deref(), Some("not-run"));
         assert_eq!(refused.json()["reason"], "platform-out");
-        assert_eq!(world.ledger.count(Step::Start), 0);
+        assert_eq!(deployment.ledger.count(Step::Start), 0);
         let reply = entry.send("POST", PATH, &[], BODY).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     });
-    assert_eq!(world.ledger.count(Step::Start), 1);
+    assert_eq!(deployment.ledger.count(Step::Start), 1);
 }
 
-/// A job whose home dies while its tasks run is never started again, and no answer claims that it
-/// did not run.
+/// Guards against a job that is started a second time, or reported as not run, after its home was
+/// killed while the tasks ran.
 #[test]
 fn a_job_of_a_dead_home_never_starts_again() {
-    let world = World::new([2, 0]);
-    let first = world.entry("cut-entry-1", "cutting");
-    let second = world.entry("cut-entry-2", "cutting");
+    let deployment = Deployment::new([2, 0]);
+    let first = deployment.entry("cut-entry-1", "cutting");
+    let second = deployment.entry("cut-entry-2", "cutting");
     smol::block_on(async {
         first.ready(1).await;
         second.ready(1).await;
@@ -90,7 +90,7 @@
         let job = json!({ "service": "templating", "tasks": tasks }).to_string();
         let submission = home.send_as(support::KEY, "POST", "/v1/jobs", &headers, &job);
         let death = async {
-            assert!(world.ledger.wait(Step::Start, 8, Duration::from_secs(30)).await);
+            assert!(deployment.ledger.wait(Step::Start, 8, Duration::from_secs(30)).await);
             home.signal("KILL");
         };
         let (reply, ()) = zip(submission, death).await;
@@ -100,6 +100,6 @@
         let reply = other.send("POST", PATH, &[], BODY).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     });
-    assert!(world.ledger.repeated().is_empty());
-    assert_eq!(world.ledger.count(Step::Start), 9);
+    assert!(deployment.ledger.repeated().is_empty());
+    assert_eq!(deployment.ledger.count(Step::Start), 9);
 }
--- a/components/entry/tests/feed.rs
+++ b/components/entry/tests/feed.rs
@@ -1,15 +1,15 @@
-//! Accepted settings reach every entry.
+//! Distribution of accepted settings to every entry.
 
 mod support;
 
 use bytes::Bytes;
-use entry::follower::Follower;
+use entry::tracker::Tracker;
 use site::{
     id::Home,
     unit::{Revision, Time},
 };
 use std::collections::BTreeMap;
-use support::{Entry, OPERATOR, World, until};
+use support::{Deployment, Entry, OPERATOR, until};
 
 async fn revision(entry: &Entry) -> Option<u64> {
     let reply = entry.send_as(OPERATOR, "GET", "/v1/admin/show/config", &[], "").await?;
@@ -25,17 +25,17 @@
 
 #[test]
 fn a_change_reaches_watchers_and_others() {
-    let world = World::new([1, 0]);
+    let deployment = Deployment::new([1, 0]);
     let entries: Vec<Entry> =
-        (1..=4).map(|n| world.entry(&format!("cut-entry-{n}"), "cutting")).collect();
+        (1..=4).map(|n| deployment.entry(&format!("cut-entry-{n}"), "cutting")).collect();
     smol::block_on(async {
         for entry in &entries {
             entry.ready(3).await;
         }
-        let mut files = world.files();
+        let mut files = deployment.files();
         let change = r#"{ "services": { "templating": { "deadline": "12s" } } }"#;
         files.insert("90-change.json".into(), Bytes::from(change));
-        assert_eq!(world.apply(Revision(1), &files).await, Revision(2));
+        assert_eq!(deployment.apply(Revision(1), &files).await, Revision(2));
         for entry in &entries {
             has(entry, 2).await;
         }
@@ -44,8 +44,8 @@
 
 #[test]
 fn watchers_that_die_are_replaced() {
-    let world = World::new([1, 0]);
-    let entries = (1..=4).map(|n| world.entry(&format!("cut-entry-{n}"), "cutting"));
+    let deployment = Deployment::new([1, 0]);
+    let entries = (1..=4).map(|n| deployment.entry(&format!("cut-entry-{n}"), "cutting"));
     let entries: Vec<Entry> = entries.collect();
     smol::block_on(async {
         let mut alive = BTreeMap::new();
@@ -58,31 +58,31 @@
             assert!(alive.remove(&watcher).is_some());
         }
         assert_eq!(alive.len(), 2);
-        let files = world.files();
-        assert_eq!(world.apply(Revision(1), &files).await, Revision(2));
+        let files = deployment.files();
+        assert_eq!(deployment.apply(Revision(1), &files).await, Revision(2));
         for entry in alive.values() {
             has(entry, 2).await;
         }
     });
 }
 
-/// Those of live entries that watch.
+/// Returns the watchers among live entries.
 fn watchers(homes: impl Iterator<Item = Home>) -> Vec<Home> {
     let homes: Vec<Home> = homes.collect();
-    let mut follower = Follower::new(homes[0], Revision(1));
+    let mut tracker = Tracker::new(homes[0], Revision(1));
     for peer in &homes[1..] {
-        assert!(!follower.heard(Time(0), *peer, Revision(1), false));
+        assert!(!tracker.handle_heartbeat(Time(0), *peer, Revision(1), false));
     }
-    follower.watchers(Time(0))
+    tracker.watchers(Time(0))
 }
 
 #[test]
-fn with_the_platform_out_a_new_entry_hears_from_its_peers() {
-    let world = World::new([1, 0]);
-    let old = world.entry("cut-entry-1", "cutting");
+fn a_new_entry_gets_settings_from_peers_while_the_platform_is_unavailable() {
+    let deployment = Deployment::new([1, 0]);
+    let old = deployment.entry("cut-entry-1", "cutting");
     smol::block_on(old.ready(0));
-    world.platform.down(true);
-    let new = world.entry_with("cut-entry-2", "cutting", &[("cut-entry-1", &old)]);
+    deployment.platform.down(true);
+    let new = deployment.entry_with("cut-entry-2", "cutting", &[("cut-entry-1", &old)]);
     smol::block_on(async {
         new.ready(1).await;
         has(&new, 1).await;
--- a/components/entry/tests/kills.rs
+++ b/components/entry/tests/kills.rs
@@ -1,34 +1,34 @@
-//! The home of a submission is killed at each step of it, and the caller submits again through
-//! another entry. What is checked is the executors' ledger.
+//! The home of a submission is killed at each step, and the caller resubmits through another entry.
+//! The answers are checked against the executors' ledger.
 
 mod support;
 
 use smol::future::zip;
 use support::{
-    World,
+    Deployment,
     call::{Call, Kind, Name, pair},
 };
 
-/// Steps of a submission at its home, in their order.
+/// Failpoints that a submission passes at its home, in order.
 const STEPS: [&str; 5] =
     ["before-admit", "after-admit", "before-send", "after-report", "before-answer"];
 
-/// Steps of a key's claim.
+/// Failpoints of a key claim, in order.
 const CLAIM_STEPS: [&str; 2] = ["before-claim", "after-claim"];
 
-/// Kills the home at one step, and starts the entry again. The caller submits at the home if
-/// `direct`, or else at the other entry.
+/// Kills the home at one step and restarts its entry. The caller submits to the home if `direct`,
+/// otherwise to the other entry.
 fn kill_at(step: &str, kind: Kind, name: Name, direct: bool) {
     println!("{kind:?} by {name:?}, killed {step}, direct: {direct}");
-    let world = World::new([2, 0]);
+    let deployment = Deployment::new([2, 0]);
     smol::block_on(async {
-        let (mut home, other, id) = pair(&world).await;
+        let (mut home, other, id) = pair(&deployment).await;
         let call = Call::new(kind, name, id);
         let at = home.http;
         home.arm(&format!("{step} kill 1"));
         let restart = async {
             assert!(!home.exit().await.success());
-            world.entry(&home.name, "cutting")
+            deployment.entry(&home.name, "cutting")
         };
         let first = call.send_at(if direct { at } else { other.http });
         let (first, restarted) = zip(first, restart).await;
@@ -36,15 +36,15 @@
             assert!(first.is_none(), "{first:?}");
         } else {
             let first = first.unwrap();
-            call.check(&world, &first);
+            call.check(&deployment, &first);
             let moves = kind == Kind::Repeatable;
             assert!(!moves || first.status == 200, "{first:?}");
         }
         let again = call.settle(&other).await;
-        call.check(&world, &again);
+        call.check(&deployment, &again);
         assert!(kind != Kind::Repeatable || again.status == 200, "{again:?}");
         let third = call.settle(&restarted).await;
-        call.check(&world, &third);
+        call.check(&deployment, &third);
     });
 }
 
@@ -80,10 +80,10 @@
 
 #[test]
 fn a_request_that_is_not_repeatable_by_its_identifier() {
-    kill_at_each_step(Kind::Once, Name::Id);
+    kill_at_each_step(Kind::NotRepeatable, Name::Id);
 }
 
 #[test]
 fn a_request_that_is_not_repeatable_by_its_key() {
-    kill_at_each_step(Kind::Once, Name::Key);
+    kill_at_each_step(Kind::NotRepeatable, Name::Key);
 }
--- a/components/entry/tests/leaving.rs
+++ b/components/entry/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Entries and executors that leave, under load and under faults.
+//! Entries that drain and executors that leave, under load and under faults.
 
 mod support;
 
@@ -15,20 +15,20 @@
 use standin::{Faults, ledger::Step};
 use std::time::Duration;
 use support::{
-    Entry, World,
+    Deployment, Entry,
     call::{Call, Kind, Name, pair},
 };
 use uuid::Uuid;
 
 const PATH: &str = "/v1/requests/templating";
 
-/// Length of an answer of which two do not fit into one part of a handover.
+/// Size of an answer so that two do not fit into one part of a handover.
 const LARGE: usize = 400 << 10;
 
-/// Requests at one time, more than the executors have slots.
+/// Number of concurrent requests to each entry; exceeds the executors' slots.
 const LOAD: usize = 40;
 
-/// Sends `LOAD` requests to each entry and returns once all are answered.
+/// Sends `LOAD` concurrent requests to each entry and returns their replies.
 async fn load(entries: [&Entry; 2]) -> Vec<support::Reply> {
     let requests = (0..2 * LOAD).map(|n| {
         let http = entries[n % 2].http;
@@ -52,21 +52,22 @@
 
 #[test]
 fn a_planned_stop_under_load_cuts_nothing() {
-    let world = World::new([2, 0]);
+    let deployment = Deployment::new([2, 0]);
     smol::block_on(async {
-        let (mut home, other, _) = pair(&world).await;
+        let (mut home, other, _) = pair(&deployment).await;
         let stop = async {
-            assert!(world.ledger.wait(Step::Start, 8, Duration::from_secs(30)).await);
+            assert!(deployment.ledger.wait(Step::Start, 8, Duration::from_secs(30)).await);
             home.signal("TERM");
         };
         let (replies, ()) = zip(load([&home, &other]), stop).await;
         assert_eq!(home.exit().await.code(), Some(0));
         let whole: Vec<_> = replies.iter().filter(|reply| reply.status == 200).collect();
-        // A refusal may say "may have run": the heir of a stopping home may run the same id.
+        // A rejection may report "may have run": the successor of a draining home may run the
+        // same id.
         let stopping = |reply: &&support::Reply| reply.json()["reason"] == "draining";
         let refused = replies.iter().filter(|r| r.status != 200).filter(stopping).count();
         assert_eq!(whole.len() + refused, replies.len(), "{replies:?}");
-        assert_eq!(world.ledger.count(Step::Start), whole.len());
+        assert_eq!(deployment.ledger.count(Step::Start), whole.len());
         for reply in whole {
             let id = reply.id.as_ref().unwrap();
             let path = format!("/v1/jobs/{id}/answer?wait=5s");
@@ -75,19 +76,19 @@
             assert_eq!(kept.json()["outputs"][0]["body"], reply.json());
         }
     });
-    assert_eq!(world.ledger.repeated(), Vec::<String>::new());
+    assert_eq!(deployment.ledger.repeated(), Vec::<String>::new());
 }
 
-/// Runs two requests, then stops the home as planned and kills it at `failpoint`. Returns what
-/// the other entry then answers to the same requests.
+/// Runs two requests, then drains the home and kills it at `failpoint`. Returns the other entry's
+/// replies to the same requests.
 fn killed_in_stop(failpoint: &str) -> Vec<support::Reply> {
-    let world = World::new([2, 0]);
+    let deployment = Deployment::new([2, 0]);
     let replies = smol::block_on(async {
-        let (mut home, other, id) = pair(&world).await;
+        let (mut home, other, id) = pair(&deployment).await;
         let mut calls = Vec::new();
         for _ in 0..2 {
             let id = SubmissionId { unique: Uuid::new_v4(), ..id };
-            let mut call = Call::new(Kind::Once, Name::Id, id);
+            let mut call = Call::new(Kind::NotRepeatable, Name::Id, id);
             call.body = json!({"ms": 1, "echo": "a".repeat(LARGE)}).to_string();
             let reply = call.send_at(home.http).await.unwrap();
             assert_eq!(reply.status, 200, "{reply:?}");
@@ -96,14 +97,14 @@
         home.arm(failpoint);
         home.signal("TERM");
         assert_eq!(home.exit().await.code(), None);
-        let _restarted = world.entry(&home.name, "cutting");
+        let _restarted = deployment.entry(&home.name, "cutting");
         let mut replies = Vec::new();
         for call in &calls {
             replies.push(call.settle(&other).await);
         }
         replies
     });
-    assert_eq!(world.ledger.count(Step::Start), 2);
+    assert_eq!(deployment.ledger.count(Step::Start), 2);
     replies
 }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// Answers to requests that are sent one after another.
+/// Sends requests one after another and checks that each succeeds.
 async fn send_some(entry: &Entry) {
     for _ in 0..20 {
         let reply = entry.send("POST", PATH, &[], r#"{"ms": 1}"#).await;
@@ -132,60 +133,61 @@
     }
 }
 
-fn records_of(world: &World, endpoint: &str) -> usize {
-    world.ledger.records().iter().filter(|record| record.endpoint == endpoint).count()
+fn records_of(deployment: &Deployment, endpoint: &str) -> usize {
+    deployment.ledger.records().iter().filter(|record| record.endpoint == endpoint).count()
 }
 
 #[test]
 fn an_executor_that_says_it_leaves_gets_no_more_work() {
-    let world = World::new([2, 0]);
+    let deployment = Deployment::new([2, 0]);
     smol::block_on(async {
-        let (home, _other, _) = pair(&world).await;
-        world.executors[0].set_faults(Faults { leaving: true, ..Faults::default() });
+        let (home, _other, _) = pair(&deployment).await;
+        deployment.executors[0].set_faults(Faults { leaving: true, ..Faults::default() });
         send_some(&home).await;
-        assert_eq!(world.ledger.count(Step::Refusal), 1);
-        let before = records_of(&world, "cutting-1");
+        assert_eq!(deployment.ledger.count(Step::Refusal), 1);
+        let before = records_of(&deployment, "cutting-1");
         send_some(&home).await;
-        assert_eq!(records_of(&world, "cutting-1"), before);
+        assert_eq!(records_of(&deployment, "cutting-1"), before);
     });
 }
 
 #[test]
 fn an_executor_on_the_list_of_leaving_vms_gets_no_more_work() {
-    let world = World::new([2, 0]);
+    let deployment = Deployment::new([2, 0]);
     smol::block_on(async {
-        let (home, _other, _) = pair(&world).await;
+        let (home, _other, _) = pair(&deployment).await;
         let value = Bytes::from(json!({"address": "127.0.0.1", "state": "leaving"}).to_string());
         let put = Put { key: vms::key("cutting-1"), value, lease: None };
-        let store = Client::new(Options::new(vec![world.platform.address()]));
+        let store = Client::new(Options::new(vec![deployment.platform.address()]));
         let txn = Txn { success: vec![Op::Put(put)], ..Txn::default() };
         store.txn(txn).await.unwrap();
         home.line("it knows", |line| leaving(line).is_some());
-        let before = records_of(&world, "cutting-1");
+        let before = records_of(&deployment, "cutting-1");
         send_some(&home).await;
-        assert_eq!(records_of(&world, "cutting-1"), before);
+        assert_eq!(records_of(&deployment, "cutting-1"), before);
     });
 }
 
-/// The endpoint that a line of the log says is leaving.
+/// Returns the endpoint that a log line reports as leaving.
 fn leaving(line: &Value) -> Option<&str> {
     let fields = &line["fields"];
     let is = fields["decision"] == "isolate" && fields["cause"] == "leaving";
     is.then(|| fields["endpoint"].as_str()).flatten()
 }
 
-/// One data centre goes on while nothing of the other and of the platform can be reached.
+/// Guards against a data centre that stops serving its own callers when the other data centre and
+/// the platform are both unreachable.
 #[test]
 fn a_data_centre_that_is_cut_off_serves_its_own_callers() {
-    let world = World::new([1, 1]);
-    let cutting = world.entry("cut-entry-1", "cutting");
-    let office = world.entry("office-entry-1", "office");
+    let deployment = Deployment::new([1, 1]);
+    let cutting = deployment.entry("cut-entry-1", "cutting");
+    let office = deployment.entry("office-entry-1", "office");
     smol::block_on(async {
         cutting.ready(1).await;
         office.ready(1).await;
-        world.executors[0].kill().await;
+        deployment.executors[0].kill().await;
         cutting.signal("STOP");
-        world.platform.down(true);
+        deployment.platform.down(true);
         support::until("its own executor serves it", || async {
             let reply = office.send("POST", PATH, &[], r#"{"ms": 1}"#).await;
             (reply.status == 200).then_some(())
@@ -195,9 +197,9 @@
             let reply = office.send("POST", PATH, &[], r#"{"ms": 1}"#).await;
             assert_eq!(reply.json()["endpoint"], "office-1");
         }
-        world.executors[0].revive().unwrap();
+        deployment.executors[0].revive().unwrap();
         cutting.signal("CONT");
-        world.platform.down(false);
+        deployment.platform.down(false);
         let reply = cutting.send("POST", PATH, &[], r#"{"ms": 1}"#).await;
         assert_eq!(reply.status, 200, "{reply:?}");
     });
--- a/components/entry/tests/pairs.rs
+++ b/components/entry/tests/pairs.rs
@@ -1,4 +1,4 @@
-//! Faults of processes, executors and the platform, singly and in pairs.
+//! Faults of processes, executors and the platform, one at a time and in pairs.
 
 mod support;
 
@@ -6,51 +6,59 @@
 use standin::{Faults, fault::Silence, ledger::Step};
 use std::time::Duration;
 use support::{
-    Entry, World,
+    Deployment, Entry,
     call::{Call, Kind, Name, pair},
 };
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
-    /// The home dies once it has admitted the submission, and its entry is started anew.
+    /// The home is killed once it has admitted the submission, and its entry is restarted.
     Kill,
-    /// The home is stopped then, until the caller has submitted elsewhere.
+    /// The home is stopped at that point, until the caller has submitted elsewhere.
     Freeze,
-    /// Executors run tasks and close the connection without an answer.
+    /// Executors run tasks and close the connection without a response.
     Unanswered,
-    /// Executors close the connection within the answer.
+    /// Executors close the connection in the middle of the response.
     Truncated,
-    /// Open connections to executors lose all answers from now on.
+    /// Open connections to executors drop all further responses.
     Silent,
-    /// The next tasks fail.
+    /// The next task of each executor fails.
     Failing,
-    /// The platform is out.
-    Down,
-    /// The platform answers late.
-    Slow,
-    /// Answers of the platform are lost after the change.
-    Lost,
-    /// All leases lapse.
-    Lapsed,
+    /// The platform is unavailable.
+    PlatformDown,
+    /// The platform responds late.
+    PlatformSlow,
+    /// Responses of the platform are lost after it has made the change.
+    LostResponses,
+    /// All leases expire.
+    LeasesExpired,
 }
 
 use Fault::*;
 
-/// Answers of the platform that are lost.
-const LOST: u32 = 3;
-
-const SINGLE: [&[Fault]; 8] =
-    [&[Freeze], &[Unanswered], &[Truncated], &[Silent], &[Failing], &[Down], &[Slow], &[Lost]];
+/// Number of responses of the platform that are lost.
+const LOST_RESPONSES: u32 = 3;
+
+const SINGLE: [&[Fault]; 8] = [
+    &[Freeze],
+    &[Unanswered],
+    &[Truncated],
+    &[Silent],
+    &[Failing],
+    &[PlatformDown],
+    &[PlatformSlow],
+    &[LostResponses],
+];
 
 const PAIRS: [&[Fault]; 8] = [
-    &[Kill, Lost],
+    &[Kill, LostResponses],
     &[Kill, Unanswered],
-    &[Kill, Down],
-    &[Freeze, Lapsed],
-    &[Freeze, Slow],
+    &[Kill, PlatformDown],
+    &[Freeze, LeasesExpired],
+    &[Freeze, PlatformSlow],
     &[Freeze, Unanswered],
-    &[Lost, Truncated],
-    &[Down, Silent],
+    &[LostResponses, Truncated],
+    &[PlatformDown, Silent],
 ];
 
 impl Fault {
@@ -61,47 +69,48 @@
             Truncated => Some(Faults { truncate: true, ..none }),
             Silent => Some(Faults { silent: Some(Silence::Answers), ..none }),
             Failing => Some(Faults { fail_next: 1, ..none }),
-            Kill | Freeze | Down | Slow | Lost | Lapsed => None,
+            Kill | Freeze | PlatformDown | PlatformSlow | LostResponses | LeasesExpired => None,
         }
     }
 
-    fn begin(self, world: &World, home: &Entry) {
+    fn begin(self, deployment: &Deployment, home: &Entry) {
         match self {
             Kill => home.arm("after-admit kill 1"),
             Freeze => home.arm("after-admit stop 1"),
-            Down => world.platform.down(true),
-            Slow => world.platform.slow(Duration::from_millis(200)),
-            Lost => world.platform.lose_answers(LOST),
-            Lapsed => world.platform.expire_leases(),
+            PlatformDown => deployment.platform.down(true),
+            PlatformSlow => deployment.platform.slow(Duration::from_millis(200)),
+            LostResponses => deployment.platform.lose_answers(LOST_RESPONSES),
+            LeasesExpired => deployment.platform.expire_leases(),
             Unanswered | Truncated | Silent | Failing => {}
         }
         let faults = self.executor();
-        let set = |faults| world.executors.iter().for_each(|executor| executor.set_faults(faults));
+        let set =
+            |faults| deployment.executors.iter().for_each(|executor| executor.set_faults(faults));
         faults.into_iter().for_each(set);
     }
 }
 
-fn end_all(world: &World) {
-    world.platform.down(false);
-    world.platform.slow(Duration::ZERO);
-    world.platform.lose_answers(0);
-    world.executors.iter().for_each(|executor| executor.set_faults(Faults::default()));
+fn end_all(deployment: &Deployment) {
+    deployment.platform.down(false);
+    deployment.platform.slow(Duration::ZERO);
+    deployment.platform.lose_answers(0);
+    deployment.executors.iter().for_each(|executor| executor.set_faults(Faults::default()));
 }
 
-/// Submits at the home while the faults are there, at the other entry beside it, and there again
-/// when they are over.
+/// Submits to the home and to the other entry at the same time while the faults last, and to the
+/// other entry once more when they have ended.
 fn run(faults: &[Fault], kind: Kind) {
     println!("{kind:?}, {faults:?}");
-    let world = World::new([2, 0]);
-    let name = if faults.contains(&Down) { Name::Id } else { Name::Key };
+    let deployment = Deployment::new([2, 0]);
+    let name = if faults.contains(&PlatformDown) { Name::Id } else { Name::Key };
     smol::block_on(async {
-        let (mut home, other, id) = pair(&world).await;
+        let (mut home, other, id) = pair(&deployment).await;
         let mut call = Call::new(kind, name, id);
         call.deadline = "4s";
         warm(&home).await;
-        let before = world.ledger.count(Step::Start);
+        let before = deployment.ledger.count(Step::Start);
         call.before = before;
-        faults.iter().for_each(|fault| fault.begin(&world, &home));
+        faults.iter().for_each(|fault| fault.begin(&deployment, &home));
         let at = home.http;
         let mut restarted = None;
         let beside = async {
@@ -118,19 +127,19 @@
             beside.unwrap()
         };
         let (first, beside) = zip(call.send_at(at), beside).await;
-        first.iter().chain([&beside]).for_each(|reply| call.check(&world, reply));
+        first.iter().chain([&beside]).for_each(|reply| call.check(&deployment, reply));
         assert_eq!(first.is_none(), faults.contains(&Kill));
-        end_all(&world);
+        end_all(&deployment);
         if faults.contains(&Kill) {
-            restarted = Some(world.entry(&home.name, "cutting"));
+            restarted = Some(deployment.entry(&home.name, "cutting"));
         }
         let last = call.settle(&other).await;
-        call.check(&world, &last);
+        call.check(&deployment, &last);
         drop(restarted);
     });
 }
 
-/// Makes connections to the executors.
+/// Sends two concurrent requests, so that connections to the executors are open.
 async fn warm(home: &Entry) {
     let request = async {
         let reply = home.send("POST", "/v1/requests/templating", &[], r#"{"ms": 50}"#).await;
@@ -151,7 +160,7 @@
 
 #[test]
 fn single_faults_and_a_request_that_is_not_repeatable() {
-    run_each(&SINGLE, Kind::Once);
+    run_each(&SINGLE, Kind::NotRepeatable);
 }
 
 #[test]
@@ -161,7 +170,7 @@
 
 #[test]
 fn pairs_of_faults_and_a_request_that_is_not_repeatable() {
-    run_each(&PAIRS, Kind::Once);
+    run_each(&PAIRS, Kind::NotRepeatable);
 }
 
 #[test]
--- a/components/entry/tests/stop.rs
+++ b/components/entry/tests/stop.rs
@@ -1,16 +1,16 @@
-//! A planned stop.
+//! Planned stops of entries.
 
 mod support;
 
 use standin::ledger::Step;
 use std::{process::Command, time::Duration};
-use support::{World, until};
+use support::{Deployment, until};
 
 #[test]
 fn a_planned_stop_cuts_no_request_and_hands_answers_over() {
-    let world = World::new([2, 0]);
-    let mut leaving = world.entry("cut-entry-1", "cutting");
-    let staying = world.entry("cut-entry-2", "cutting");
+    let deployment = Deployment::new([2, 0]);
+    let mut leaving = deployment.entry("cut-entry-1", "cutting");
+    let staying = deployment.entry("cut-entry-2", "cutting");
     smol::block_on(async {
         leaving.ready(1).await;
         staying.ready(1).await;
@@ -20,7 +20,7 @@
         assert_eq!(finished.status, 200, "{finished:?}");
         let request = leaving.send("POST", path, &[], body);
         let stop = async {
-            assert!(world.ledger.wait(Step::Start, 2, Duration::from_secs(30)).await);
+            assert!(deployment.ledger.wait(Step::Start, 2, Duration::from_secs(30)).await);
             leaving.signal("TERM");
         };
         let (reply, ()) = smol::future::zip(request, stop).await;
@@ -37,13 +37,13 @@
             .await;
         }
     });
-    assert_eq!(world.ledger.count(Step::Start), 2);
+    assert_eq!(deployment.ledger.count(Step::Start), 2);
 }
 
 #[test]
-fn an_entry_alone_stops_too() {
-    let world = World::new([1, 0]);
-    let mut entry = world.entry("cut-entry-1", "cutting");
+fn an_entry_without_peers_stops() {
+    let deployment = Deployment::new([1, 0]);
+    let mut entry = deployment.entry("cut-entry-1", "cutting");
     smol::block_on(async {
         entry.ready(0).await;
         entry.signal("INT");
--- a/components/entry/tests/support/call.rs
+++ b/components/entry/tests/support/call.rs
@@ -1,37 +1,37 @@
-//! One submission that is sent again and again, and what must hold for it.
+//! A submission that is sent repeatedly, and the guarantees that its answers are checked against.
 
-use super::{Entry, KEY, Reply, World, send, until};
+use super::{Deployment, Entry, KEY, Reply, send, until};
 use serde_json::{Value, json};
 use site::id::SubmissionId;
 use standin::ledger::Step;
 use std::net::SocketAddr;
 use uuid::Uuid;
 
-/// Tasks of a job, more than the executors have slots.
+/// Number of tasks of a job; exceeds the executors' slots.
 const TASKS: usize = 20;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     Job,
     Repeatable,
-    Once,
+    NotRepeatable,
 }
 
-/// How a submission is named.
+/// How a submission is identified.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Name {
     Id,
     Key,
 }
 
-/// One submission, as often as it is sent.
+/// A submission that can be sent any number of times.
 pub struct Call {
     pub kind: Kind,
     name: (&'static str, String),
     pub body: String,
-    /// Short where it is waited for in vain.
+    /// Deadline header; short in tests in which no answer can arrive.
     pub deadline: &'static str,
-    /// Tasks that started before it was first sent.
+    /// Task starts in the ledger before the first send.
     pub before: usize,
 }
 
@@ -44,7 +44,7 @@
         let tasks: Vec<_> = (0..TASKS).map(|n| json!({"body": {"ms": 20, "echo": n}})).collect();
         let body = match kind {
             Kind::Job => json!({"service": "templating", "tasks": tasks}),
-            Kind::Repeatable | Kind::Once => json!({"ms": 20, "echo": "seam"}),
+            Kind::Repeatable | Kind::NotRepeatable => json!({"ms": 20, "echo": "seam"}),
         };
         Call { kind, name, body: body.to_string(), deadline: "10s", before: 0 }
     }
@@ -53,13 +53,13 @@
         let path = if self.kind == Kind::Job { "/v1/jobs" } else { "/v1/requests/templating" };
         let mut headers =
             vec![(self.name.0, self.name.1.as_str()), ("primrosestep-deadline", self.deadline)];
-        if self.kind == Kind::Once {
+        if self.kind == Kind::NotRepeatable {
             headers.push(("primrosestep-repeatable", "false"));
         }
         send(entry, KEY, "POST", path, &headers, &self.body).await
     }
 
-    /// Submits again until there is an answer that another try would not change.
+    /// Resubmits until there is an answer that a retry would not change.
     pub async fn settle(&self, entry: &Entry) -> Reply {
         until("there is a final answer", || async {
             let reply = self.send_at(entry.http).await?;
@@ -69,16 +69,16 @@
         .await
     }
 
-    /// Holds an answer, and everything that started until then, to the guarantees.
-    pub fn check(&self, world: &World, reply: &Reply) {
-        let starts = world.ledger.count(Step::Start) - self.before;
+    /// Checks an answer and the task starts so far against the guarantees.
+    pub fn check(&self, deployment: &Deployment, reply: &Reply) {
+        let starts = deployment.ledger.count(Step::Start) - self.before;
         match self.kind {
             Kind::Job => assert!(starts <= TASKS, "{starts} starts"),
-            Kind::Once => assert!(starts <= 1, "{starts} starts"),
+            Kind::NotRepeatable => assert!(starts <= 1, "{starts} starts"),
             Kind::Repeatable => {}
         }
         if self.kind != Kind::Repeatable {
-            assert_eq!(world.ledger.repeated(), Vec::<String>::new());
+            assert_eq!(deployment.ledger.repeated(), Vec::<String>::new());
         }
         match reply.outcome.as_deref() {
             Some("complete") => self.check_whole(reply),
@@ -101,9 +101,10 @@
     }
 }
 
-/// Two entries, of which the first is the home of the identifiers that callers make.
-pub async fn pair(world: &World) -> (Entry, Entry, SubmissionId) {
-    let entries = [world.entry("cut-entry-1", "cutting"), world.entry("cut-entry-2", "cutting")];
+/// Starts two entries. The first returned is the home in the token of the returned id.
+pub async fn pair(deployment: &Deployment) -> (Entry, Entry, SubmissionId) {
+    let entries =
+        [deployment.entry("cut-entry-1", "cutting"), deployment.entry("cut-entry-2", "cutting")];
     for entry in &entries {
         entry.ready(1).await;
     }
@@ -118,7 +119,7 @@
     if is_home { (one, other, id) } else { (other, one, id) }
 }
 
-/// Whether a problem may end without a new submission.
+/// Returns whether a problem is temporary, so that the same submission can be retried.
 fn is_passing(reply: &Reply) -> bool {
     let problem = reply.json();
     let reason = problem["reason"].as_str().unwrap_or_default();
--- a/components/entry/tests/support/mod.rs
+++ b/components/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Entries as processes, with stand-ins for the platform and the executors around them.
+//! Entry processes, with stand-ins for the platform and the executors.
 
 #![allow(dead_code, unreachable_pub, reason = "each test file uses a part")]
 
@@ -40,32 +40,32 @@
 /// The operator's key.
 pub const OPERATOR: &str = "foreman";
 
-/// Longest time that a state is waited for before a test is given up as stuck.
-const STUCK: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a state before the test fails as stuck.
+const STUCK_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at a state.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A port that the system chooses.
-pub fn anywhere() -> SocketAddr {
+/// Loopback address with a port that the system chooses.
+pub fn loopback() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// Waits until `state` gives something.
+/// Polls `state` until it returns a value.
 pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, state: impl Fn() -> F) -> T {
     let mut waited = Duration::ZERO;
     loop {
         if let Some(found) = state().await {
             return found;
         }
-        assert!(waited < STUCK, "stuck waiting until {what}");
-        Timer::after(LOOK).await;
-        waited += LOOK;
+        assert!(waited < STUCK_TIMEOUT, "stuck waiting until {what}");
+        Timer::after(POLL_INTERVAL).await;
+        waited += POLL_INTERVAL;
     }
 }
 
 /// Data centres `cutting` and `office` with executors of the service `templating`.
-pub struct World {
+pub struct Deployment {
     pub platform: Platform,
     pub ledger: Ledger,
     pub executors: Vec<Executor>,
@@ -75,24 +75,24 @@
     files: Files,
 }
 
-impl World {
-    /// `counts` executors in `cutting` and `office`; settings are accepted already.
-    pub fn new(counts: [usize; 2]) -> World {
+impl Deployment {
+    /// Starts `counts` executors in `cutting` and `office`, and accepts settings for them.
+    pub fn new(counts: [usize; 2]) -> Deployment {
         let ledger = Ledger::default();
-        let platform = Platform::spawn(anywhere()).unwrap();
+        let platform = Platform::spawn(loopback()).unwrap();
         let dir = std::env::temp_dir().join(format!("primrosestep-{}", Uuid::new_v4()));
         fs::create_dir(&dir).unwrap();
         let mut members = serde_json::Map::new();
         let mut executors = Vec::new();
-        for (zone, count) in ["cutting", "office"].into_iter().zip(counts) {
+        for (data_centre, count) in ["cutting", "office"].into_iter().zip(counts) {
             for index in 1..=count {
-                let name = format!("{zone}-{index}");
+                let name = format!("{data_centre}-{index}");
                 let options =
                     executor::Options { name: name.clone(), ..executor::Options::default() };
-                let executor = Executor::spawn(anywhere(), options, ledger.clone()).unwrap();
+                let executor = Executor::spawn(loopback(), options, ledger.clone()).unwrap();
                 let address = executor.address().to_string();
                 let member = json!({
-                    "data-centre": zone, "address": address, "service": "templating",
+                    "data-centre": data_centre, "address": address, "service": "templating",
                 });
                 members.insert(name, member);
                 executors.push(executor);
@@ -100,13 +100,13 @@
         }
         let authority = Authority::create().unwrap();
         let files = files(members.into());
-        let world = World { platform, ledger, executors, authority, dir, files };
-        let revision = smol::block_on(world.apply(Revision(0), &world.files));
+        let deployment = Deployment { platform, ledger, executors, authority, dir, files };
+        let revision = smol::block_on(deployment.apply(Revision(0), &deployment.files));
         assert_eq!(revision, Revision(1));
-        world
+        deployment
     }
 
-    /// Accepts settings and returns their revision.
+    /// Applies settings to the platform and returns their revision.
     pub async fn apply(&self, base: Revision, files: &Files) -> Revision {
         let store = Client::new(Options::new(vec![self.platform.address()]));
         match manifest::accept(&store, base, files, Uuid::new_v4()).await.unwrap() {
@@ -125,7 +125,7 @@
         self.entry_with(name, data_centre, &[])
     }
 
-    /// Starts an entry that knows others by its settings.
+    /// Starts an entry with seed entries in its settings.
     pub fn entry_with(&self, name: &str, data_centre: &str, seeds: &[(&str, &Entry)]) -> Entry {
         let seeds: BTreeMap<_, _> = seeds.iter().map(|(name, entry)| (name, entry.quic)).collect();
         let file = |suffix: &str| self.dir.join(format!("{name}{suffix}"));
@@ -136,8 +136,8 @@
         let settings = json!({
             "name": name,
             "data-centre": data_centre,
-            "http": anywhere(),
-            "quic": anywhere(),
+            "http": loopback(),
+            "quic": loopback(),
             "platform": [self.platform.address()],
             "seeds": seeds,
             "tls": { "key": file(".key"), "certificate": file(".pem"), "authority": file(".ca") },
@@ -147,13 +147,13 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
-/// The settings with these executors.
+/// Returns settings files with these executors.
 fn files(executors: Value) -> Files {
     let digest = |key: &str| settings::digest(key.as_bytes()).to_string();
     let base = json!({
@@ -169,13 +169,13 @@
     [(CompactString::from("00-all.json"), text)].into()
 }
 
-/// A process of an entry, killed when it is dropped.
+/// An entry process, killed on drop.
 pub struct Entry {
     pub name: String,
     child: Child,
-    /// Lines of its log that have not been looked at.
+    /// Log lines that were not read yet.
     lines: Receiver<Value>,
-    /// Arms a failpoint while it exists.
+    /// File that arms a failpoint while it exists.
     failpoint: PathBuf,
     pub http: SocketAddr,
     pub quic: SocketAddr,
@@ -200,7 +200,7 @@
                 }
             }
         });
-        let (http, quic) = (anywhere(), anywhere());
+        let (http, quic) = (loopback(), loopback());
         let mut entry = Entry { name: name.into(), child, lines, failpoint, http, quic };
         let started = entry.line("it has started", |line| line["fields"]["message"] == "started");
         let address = |what: &str| started["fields"][what].as_str().unwrap().parse().unwrap();
@@ -208,10 +208,10 @@
         entry
     }
 
-    /// The next line of the log for which `wanted` holds; those before it are forgotten.
+    /// Returns the next log line that matches `wanted`, and discards those before it.
     pub fn line(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
         loop {
-            match self.lines.recv_timeout(STUCK) {
+            match self.lines.recv_timeout(STUCK_TIMEOUT) {
                 Ok(line) if wanted(&line) => return line,
                 Ok(_) => {}
                 Err(error) => panic!("stuck waiting until {what}: {error}"),
@@ -219,7 +219,7 @@
         }
     }
 
-    /// A request with the firm's key.
+    /// Sends a request with the firm's key.
     pub async fn send(
         &self,
         method: &str,
@@ -230,7 +230,7 @@
         self.send_as(KEY, method, path, headers, body).await.unwrap()
     }
 
-    /// A request with a key; `None` when there is no answer.
+    /// Sends a request with `key`. Returns `None` if there is no response.
     pub async fn send_as(
         &self,
         key: &str,
@@ -242,7 +242,7 @@
         send(self.http, key, method, path, headers, body).await
     }
 
-    /// Waits until the entry is ready and knows `peers` live peers.
+    /// Waits until the entry is ready and sees at least `peers` live peers.
     pub async fn ready(&self, peers: usize) {
         until("it is ready", || async {
             let reply = self.send("GET", "/readyz", &[], "").await;
@@ -259,19 +259,19 @@
         .await;
     }
 
-    /// The token that it gives to callers; its home may be another entry.
+    /// Returns the token that the entry gives to callers; its home may be another entry.
     pub async fn token(&self) -> Token {
         let reply = self.send("GET", "/v1/home", &[], "").await.json();
         reply["token"].as_str().unwrap().parse().unwrap()
     }
 
-    /// Which process it is.
+    /// Returns the identity of the process.
     pub async fn home(&self) -> Home {
         let reply = self.send_as(OPERATOR, "GET", "/v1/admin/show/peers", &[], "").await.unwrap();
         reply.json()["home"].as_str().unwrap().parse().unwrap()
     }
 
-    /// Sends a signal by its name.
+    /// Sends the signal of this name to the process.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([&format!("-{name}"), &self.child.id().to_string()])
@@ -280,14 +280,14 @@
         assert!(status.success());
     }
 
-    /// Arms a failpoint: `<name> <kill|stop> <n>`.
+    /// Arms a failpoint, given as `<name> <kill|stop> <n>`.
     pub fn arm(&self, failpoint: &str) {
         let draft = self.failpoint.with_extension("draft");
         fs::write(&draft, failpoint).unwrap();
         fs::rename(&draft, &self.failpoint).unwrap();
     }
 
-    /// Waits until the process has been stopped by SIGSTOP.
+    /// Waits until the process is stopped by SIGSTOP.
     pub async fn stopped(&self) {
         let stat = format!("/proc/{}/stat", self.child.id());
         until("it is stopped", || async {
@@ -297,16 +297,16 @@
         .await;
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     pub async fn exit(&mut self) -> ExitStatus {
         let mut waited = Duration::ZERO;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(waited < STUCK, "stuck waiting until {} has ended", self.name);
-            Timer::after(LOOK).await;
-            waited += LOOK;
+            assert!(waited < STUCK_TIMEOUT, "stuck waiting until {} has ended", self.name);
+            Timer::after(POLL_INTERVAL).await;
+            waited += POLL_INTERVAL;
         }
     }
 }
@@ -318,7 +318,7 @@
     }
 }
 
-/// A request to the entry at `http` with a key; `None` when there is no answer.
+/// Sends a request to the entry at `http` with `key`. Returns `None` if there is no response.
 pub async fn send(
     http: SocketAddr,
     key: &str,
@@ -341,7 +341,7 @@
     Reply::read(conn.await.ok()?).await
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
--- a/components/entry/tests/thin.rs
+++ b/components/entry/tests/thin.rs
@@ -1,8 +1,8 @@
-//! A request goes from a caller over one entry to an executor and back, over real sockets.
+//! One request passes from a caller through one entry to an executor and back, over real sockets.
 
 use dispatch::{Message, entry::Options};
 use endpoint::http;
-use entry::{Backend, Edges, Engine, Peers, metrics::Metrics};
+use entry::{Backend, Dependencies, Engine, Peers, metrics::Metrics};
 use site::{
     Site,
     id::{DataCentreId, EntryId, Home, Incarnation, RackId},
@@ -24,12 +24,12 @@
         Vec::new()
     }
 
-    fn abandon(&self, _: Home) -> bool {
+    fn cancel_connect(&self, _: Home) -> bool {
         true
     }
 }
 
-fn anywhere() -> SocketAddr {
+fn loopback() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
@@ -68,12 +68,12 @@
     };
     let (log, guard) = telemetry::start(io::sink(), Level::Info).unwrap();
     std::mem::forget(guard);
-    let edges = Edges {
+    let dependencies = Dependencies {
         transport: Arc::new(http::Client::new(home.incarnation, http::Options::default())),
         peers: Arc::new(Alone),
         log,
     };
-    let engine = Arc::new(Engine::new(options, edges, Metrics::new().unwrap()));
+    let engine = Arc::new(Engine::new(options, dependencies, Metrics::new().unwrap()));
     entry::spawn::spawn(engine.clone().run_timer());
     engine
 }
@@ -81,11 +81,11 @@
 #[test]
 fn one_entry_passes_a_request_through() {
     let ledger = Ledger::default();
-    let executor = Executor::spawn(anywhere(), executor::Options::default(), ledger).unwrap();
+    let executor = Executor::spawn(loopback(), executor::Options::default(), ledger).unwrap();
     let engine = engine(site(executor.address()));
     smol::block_on(async {
         let backend = Arc::new(Backend::new(engine.clone()));
-        let server = server::Server::start(anywhere(), backend, server::Options::default());
+        let server = server::Server::start(loopback(), backend, server::Options::default());
         let server = server.await.unwrap();
         let client = trillium_client::Client::new(trillium_smol::ClientConfig::default());
         let url = format!("http://{}/v1/requests/templating", server.address());
--- a/components/entry/tests/machines.rs
+++ b/components/entry/tests/vms.rs
@@ -1,6 +1,6 @@
-//! What the list of VMs says of entries and endpoints.
+//! State of entries and endpoints as derived from the list of VMs.
 
-use entry::machines::{Machines, Vms};
+use entry::vms::{VmHistory, Vms};
 use platform::vms::{State, Vm};
 use site::{
     Executor, Site,
@@ -24,23 +24,23 @@
 }
 
 #[test]
-fn only_what_was_on_the_list_can_be_gone() {
-    let mut machines = Machines::default();
+fn only_vms_listed_before_can_be_gone() {
+    let mut history = VmHistory::default();
     let one: Vms = [("entry-1".to_owned(), vm("10.0.1.1", State::Live))].into();
-    assert_eq!(machines.update(&one, &site()).gone, []);
-    assert_eq!(machines.update(&Vms::new(), &site()).gone, [EntryId::of("entry-1")]);
-    assert_eq!(machines.update(&one, &site()).gone, []);
+    assert_eq!(history.update(&one, &site()).gone, []);
+    assert_eq!(history.update(&Vms::new(), &site()).gone, [EntryId::of("entry-1")]);
+    assert_eq!(history.update(&one, &site()).gone, []);
 }
 
 #[test]
 fn endpoints_leave_by_name_or_address() {
-    let mut machines = Machines::default();
+    let mut history = VmHistory::default();
     let vms: Vms = [
         ("cut-1".to_owned(), vm("10.9.9.9", State::Leaving)),
         ("host-7".to_owned(), vm("10.0.0.2", State::Leaving)),
     ]
     .into();
-    let mut leaving = machines.update(&vms, &site()).leaving;
+    let mut leaving = history.update(&vms, &site()).leaving;
     leaving.sort();
     let mut expected = [EndpointId::of("cut-1"), EndpointId::of("cut-2")];
     expected.sort();
--- a/components/entry/tests/whole_path.rs
+++ b/components/entry/tests/whole_path.rs
@@ -1,15 +1,15 @@
-//! From a caller over processes of entries to executors and back.
+//! Requests and jobs from a caller through entry processes to executors and back.
 
 mod support;
 
 use serde_json::json;
 use standin::ledger::Step;
-use support::{World, call::pair};
+use support::{Deployment, call::pair};
 
 #[test]
 fn one_entry_answers_requests_and_jobs() {
-    let world = World::new([2, 0]);
-    let entry = world.entry("cut-entry-1", "cutting");
+    let deployment = Deployment::new([2, 0]);
+    let entry = deployment.entry("cut-entry-1", "cutting");
     smol::block_on(async {
         entry.ready(0).await;
         let body = r#"{"ms": 5, "echo": "cutout"}"#;
@@ -25,15 +25,15 @@
         let echoes: Vec<_> = outputs.iter().map(|o| o["body"]["echo"].as_u64().unwrap()).collect();
         assert_eq!(echoes, (0..100).collect::<Vec<_>>());
     });
-    assert_eq!(world.ledger.count(Step::Start), 101);
-    assert!(world.ledger.repeated().is_empty());
+    assert_eq!(deployment.ledger.count(Step::Start), 101);
+    assert!(deployment.ledger.repeated().is_empty());
 }
 
 #[test]
 fn another_entry_forwards_to_the_home() {
-    let world = World::new([2, 0]);
+    let deployment = Deployment::new([2, 0]);
     smol::block_on(async {
-        let (home, other, id) = pair(&world).await;
+        let (home, other, id) = pair(&deployment).await;
         let id = id.to_string();
         let headers = [("primrosestep-id", id.as_str())];
         let path = "/v1/requests/templating";
@@ -48,14 +48,14 @@
             line["target"] == "decision" && line["fields"]["decision"] == "forward"
         });
     });
-    assert_eq!(world.ledger.count(Step::Start), 1);
+    assert_eq!(deployment.ledger.count(Step::Start), 1);
 }
 
 #[test]
 fn two_data_centres_answer_each_other() {
-    let world = World::new([1, 1]);
-    let cutting = world.entry("cut-entry-1", "cutting");
-    let office = world.entry("office-entry-1", "office");
+    let deployment = Deployment::new([1, 1]);
+    let cutting = deployment.entry("cut-entry-1", "cutting");
+    let office = deployment.entry("office-entry-1", "office");
     smol::block_on(async {
         cutting.ready(1).await;
         office.ready(1).await;
@@ -72,7 +72,7 @@
             }
         }
     });
-    assert_eq!(world.ledger.count(Step::Start), 80);
-    assert!(world.ledger.peak("cutting-1") <= 8);
-    assert!(world.ledger.peak("office-1") <= 8);
+    assert_eq!(deployment.ledger.count(Step::Start), 80);
+    assert!(deployment.ledger.peak("cutting-1") <= 8);
+    assert!(deployment.ledger.peak("office-1") <= 8);
 }
