--- a/capacity/src/fake/backend.rs
+++ b/capacity/src/fake/backend.rs
@@ -6,7 +6,7 @@
 use dispatch::action::Status;
 use server::{
     Backend,
-    backend::{Fetched, Keyed, Overview, Readiness},
+    backend::{Fetched, KeyedAnswer, Overview, Readiness},
 };
 use site::{
     Site,
@@ -45,11 +45,11 @@
         answer(&submission)
     }
 
-    async fn submit_keyed(&self, _: CompactString, _: bool, made: Arc<Submission>) -> Keyed {
-        Keyed { id: made.id, answer: answer(&made) }
+    async fn submit_keyed(&self, _: CompactString, _: bool, made: Arc<Submission>) -> KeyedAnswer {
+        KeyedAnswer { id: made.id, answer: answer(&made) }
     }
 
-    fn begin(&self, _: Arc<Submission>) {}
+    fn submit_detached(&self, _: Arc<Submission>) {}
 
     async fn fetch(&self, _: SubmissionId, _: FirmId, _: Span) -> Fetched {
         Fetched::Pending
@@ -63,7 +63,7 @@
         Arc::new(Answer::Complete(vec![]))
     }
 
-    fn ready(&self) -> Readiness {
+    fn readiness(&self) -> Readiness {
         Readiness::Ready
     }
 
--- a/components/entry/src/backend.rs
+++ b/components/entry/src/backend.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use dispatch::{Event, action::Status};
 use futures_lite::FutureExt;
-use server::backend::{Fetched, Keyed, Overview, Readiness};
+use server::backend::{Fetched, KeyedAnswer, Overview, Readiness};
 use site::{
     Site,
     id::{FirmId, SubmissionId, Token, WaiterId},
@@ -105,15 +105,15 @@
         key: CompactString,
         first: bool,
         submission: Arc<Submission>,
-    ) -> Keyed {
+    ) -> KeyedAnswer {
         let ticket = self.open_ticket(submission.id);
         let waiter = ticket.waiter;
         self.engine.post(Event::SubmitKeyed { waiter, key, first, submission });
         let (id, answer) = self.timed_answer(&ticket).await;
-        Keyed { id, answer }
+        KeyedAnswer { id, answer }
     }
 
-    fn begin(&self, submission: Arc<Submission>) {
+    fn submit_detached(&self, submission: Arc<Submission>) {
         let waiter = self.engine.waiters().allocate_id();
         let id = submission.id;
         self.engine.post(Event::Submit { waiter, submission });
@@ -148,7 +148,7 @@
         ticket.answer().await.1
     }
 
-    fn ready(&self) -> Readiness {
+    fn readiness(&self) -> Readiness {
         if self.engine.is_draining() {
             return Readiness::Draining;
         }
--- a/components/server/benches/hop.rs
+++ b/components/server/benches/hop.rs
@@ -1,12 +1,14 @@
-//! What the interface adds to a request, against a bare proxy hop, and what a waiting caller costs.
+//! Measures the latency that the HTTP API adds to a request, compared with a plain proxy, and the
+//! memory that a waiting caller uses.
 //!
-//! The interface answers from a fake at once, so its row holds everything but the decision and the
-//! endpoint. The proxy's row holds the endpoint; the bare row is the endpoint alone.
+//! The HTTP API responds from a fake backend at once, so its row contains everything except the
+//! decision and the endpoint. The proxy's row includes the endpoint; the bare row is the endpoint
+//! alone.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Bench, KEY, request};
+use common::{KEY, TestServer, request};
 use std::{
     fs,
     io::{Read, Write},
@@ -24,10 +26,10 @@
 const LINE: &str = "POST /v1/requests/check";
 
 fn main() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let bare = serve(answer);
     let proxy = proxy(bare);
-    let targets = [("bare handler", bare), ("bare proxy", proxy), ("interface", bench.address())];
+    let targets = [("bare handler", bare), ("bare proxy", proxy), ("interface", server.address())];
     let mut times = targets.map(|_| Vec::with_capacity(ROUNDS * REQUESTS));
     for _ in 0..ROUNDS {
         for ((_, address), times) in targets.iter().zip(&mut times) {
@@ -39,7 +41,7 @@
         let at = |share: usize| times[times.len() * share / 100];
         println!("{name}: p50 {:?}, p99 {:?}", at(50), at(99));
     }
-    drop(bench);
+    drop(server);
     waiters();
 }
 
@@ -84,7 +86,7 @@
     for _ in 0..REQUESTS {
         let start = Instant::now();
         stream.write_all(&request).unwrap();
-        // Small answers on loopback come in one piece.
+        // Small responses on loopback arrive in one read.
         let read = stream.read(&mut buffer).unwrap();
         times.push(start.elapsed());
         assert!(buffer[..read].starts_with(b"HTTP/1.1 200") && buffer[..read].ends_with(b"cut"));
@@ -92,15 +94,15 @@
 }
 
 fn waiters() {
-    let bench = Bench::new();
-    bench.hold();
+    let server = TestServer::new();
+    server.hold();
     let request = request(KEY, LINE, &[], b"a cutout of 600 by 480");
     let before = resident();
     let streams: Vec<_> = (0..WAITERS)
         .map(|_| {
-            let mut stream = bench.connect();
+            let mut stream = server.connect();
             stream.write_all(&request).unwrap();
-            bench.submission();
+            server.submission();
             stream
         })
         .collect();
@@ -108,7 +110,7 @@
     println!("{} waiting callers: {grown} KiB resident", streams.len());
 }
 
-/// Resident memory of this process, in KiB.
+/// Returns the resident memory of this process in KiB.
 fn resident() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
--- a/components/server/src/backend.rs
+++ b/components/server/src/backend.rs
@@ -1,4 +1,4 @@
-//! What the interface needs from the rest of the process.
+//! Api between the HTTP API and the rest of the process.
 
 use async_trait::async_trait;
 use compact_str::CompactString;
@@ -13,108 +13,110 @@
 };
 use std::{str::FromStr, sync::Arc};
 
-/// The rest of the process, as the interface sees it.
+/// The operations that the HTTP API needs from the rest of the process.
 ///
-/// A caller that closes its connection drops the future that waits for it. The implementation then
-/// forgets the waiter; the submission itself goes on.
+/// When a caller closes its connection, the future that waits for it is dropped. The implementation
+/// must then remove the waiter; the submission itself continues.
 #[async_trait]
 pub trait Backend: Send + Sync + 'static {
-    /// The token that callers make identifiers with now.
+    /// Returns the home token with which callers currently create identifiers.
     fn token(&self) -> Token;
 
-    /// The settings in force.
+    /// Returns the settings in force.
     fn site(&self) -> Arc<Site>;
 
-    /// The revision of the settings in force. Changes whenever [`Backend::site`] does.
+    /// Returns the revision of the settings in force. Changes whenever [`Backend::site`] does.
     fn revision(&self) -> Revision;
 
-    /// Submits and waits for the final answer.
+    /// Submits `submission` and waits for its final answer.
     async fn submit(&self, submission: Arc<Submission>) -> Arc<Answer>;
 
-    /// Submits under a caller's own key and waits for the final answer. `first` tells that the
-    /// caller never used the key before.
+    /// Submits under the caller's idempotency key and waits for the final answer. `first` is true
+    /// if the caller states that it never used the key before.
     async fn submit_keyed(
         &self,
         key: CompactString,
         first: bool,
         submission: Arc<Submission>,
-    ) -> Keyed;
+    ) -> KeyedAnswer;
 
-    /// Submits without waiting; the answer is fetched later.
-    fn begin(&self, submission: Arc<Submission>);
+    /// Submits without waiting. The answer is fetched later.
+    fn submit_detached(&self, submission: Arc<Submission>);
 
-    /// Waits at most `deadline` for the answer of a submission.
+    /// Waits up to `deadline` for the answer to a submission.
     async fn fetch(&self, id: SubmissionId, firm: FirmId, deadline: Span) -> Fetched;
 
-    /// How far a submission has come; `None` when it is not known here or is another firm's.
+    /// Returns the progress of a submission; `None` if it is unknown here or belongs to another
+    /// firm.
     async fn query(&self, id: SubmissionId, firm: FirmId) -> Option<Status>;
 
-    /// Cancels a submission and returns its final answer, the real one when it came too late.
+    /// Cancels a submission and returns its final answer. If it was already answered, that is the
+    /// original answer.
     async fn cancel(&self, id: SubmissionId, firm: FirmId) -> Arc<Answer>;
 
-    /// Whether new work is wanted here.
-    fn ready(&self) -> Readiness;
+    /// Returns whether the entry accepts new work.
+    fn readiness(&self) -> Readiness;
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 
-    /// A view for operators.
+    /// Renders a view for operators as JSON.
     fn overview(&self, what: Overview) -> serde_json::Value;
 
-    /// Starts a planned stop. Returns at once.
+    /// Starts a drain. Does not wait for its end.
     fn drain(&self);
 }
 
-/// The answer to a submission under a caller's own key.
+/// The answer to a submission under an idempotency key.
 #[derive(Clone, Debug)]
-pub struct Keyed {
-    /// What the key stands for: the identifier of the submission that claimed it first.
+pub struct KeyedAnswer {
+    /// Identifier of the submission that first claimed the key.
     pub id: SubmissionId,
     /// The final answer.
     pub answer: Arc<Answer>,
 }
 
-/// What a fetch came to.
+/// Result of a fetch.
 #[derive(Clone, Debug)]
 pub enum Fetched {
     /// The final answer.
     Answer(Arc<Answer>),
-    /// The time passed first; the submission goes on, as far as is known.
+    /// The wait timed out; the submission may still be in progress.
     Pending,
 }
 
-/// Whether an entry wants new work.
+/// Readiness of an entry for new work.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Readiness {
-    /// Yes.
+    /// The entry accepts new work.
     #[display("ready")]
     Ready,
-    /// No: it has no settings yet.
+    /// Not ready: the entry has no settings yet.
     #[display("no settings")]
     NoSettings,
-    /// No: it is stopping.
+    /// Not ready: the entry is draining.
     #[display("draining")]
     Draining,
 }
 
-/// A view for operators.
+/// The views for operators.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[display(rename_all = "kebab-case")]
 pub enum Overview {
     /// The settings in force.
     Config,
-    /// Executors and workers with their state.
+    /// Executors and workers, with the load of those in use.
     Executors,
-    /// Firms with their use.
+    /// Firms and contracts.
     Firms,
-    /// Open submissions.
+    /// Open submissions and waiting callers.
     Jobs,
-    /// The other entries.
+    /// The other entries, with their membership and connection state.
     Peers,
 }
 
-/// A text names no view.
+/// Error of a text that is not the name of a view.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 #[display("no such view: expected config, executors, firms, jobs or peers")]
 pub struct UnknownOverview;
--- a/components/server/src/body.rs
+++ b/components/server/src/body.rs
@@ -1,4 +1,5 @@
-//! Reading bodies: bounded in size, in time by the connection's guard, and in total memory.
+//! Reads request bodies with limits on size and total memory. The time limit is enforced by the
+//! connection's [`TimedConnection`](crate::timeout::TimedConnection).
 
 use crate::{Rejection, header};
 use bytes::Bytes;
@@ -13,13 +14,13 @@
 };
 use trillium::Conn;
 
-/// Bytes read at a time from a body of unknown length.
-const CHUNK: usize = 16 << 10;
+/// Size of reads from a body of unknown length, in bytes.
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// Most bytes that are set aside before any of them arrived.
-const MAX_PREALLOCATED: usize = 64 << 10;
+/// Maximum bytes that are allocated before any of the body has arrived.
+const MAX_PREALLOCATED_BYTES: usize = 64 << 10;
 
-/// Memory that all bodies share.
+/// Memory budget shared by the bodies of all requests.
 #[derive(Debug)]
 pub struct Budget {
     limit: u64,
@@ -27,12 +28,12 @@
 }
 
 impl Budget {
-    /// A budget of `limit`, none of it used.
+    /// Creates an unused budget of `limit`.
     pub fn new(limit: Memory) -> Arc<Budget> {
         Arc::new(Budget { limit: limit.0, used: AtomicU64::new(0) })
     }
 
-    fn take(&self, bytes: u64) -> bool {
+    fn try_reserve(&self, bytes: u64) -> bool {
         let before = self.used.fetch_add(bytes, Ordering::Relaxed);
         if before.saturating_add(bytes) <= self.limit {
             return true;
@@ -42,7 +43,7 @@
     }
 }
 
-/// A part of a budget, given back when dropped.
+/// Reserved part of a budget, released on drop.
 #[derive(Debug)]
 pub struct Permit {
     budget: Arc<Budget>,
@@ -55,7 +56,7 @@
     }
 
     fn extend(&mut self, bytes: u64) -> Result<(), Rejection> {
-        if !self.budget.take(bytes) {
+        if !self.budget.try_reserve(bytes) {
             return Err(Rejection::NoMemory);
         }
         self.bytes += bytes;
@@ -69,25 +70,25 @@
     }
 }
 
-/// A whole body and the memory that it takes.
+/// A complete body and its memory reservation.
 #[derive(Debug)]
 pub struct Body {
-    /// The content.
+    /// Content of the body.
     pub bytes: Bytes,
-    /// Held as long as the content is.
+    /// Reservation for the content; kept as long as the content.
     pub permit: Permit,
 }
 
 /// Limits of one body.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
-    /// Largest size.
+    /// Maximum size.
     pub size: Memory,
-    /// What the guard of the connection allows, for the message.
+    /// Time limit that the connection enforces; only used in the error message.
     pub time: Span,
 }
 
-/// Reads the whole body of a request, or stops as soon as a limit is passed.
+/// Reads the whole body of a request. Fails as soon as a limit is exceeded.
 pub async fn read(conn: &mut Conn, limit: Limit, budget: &Arc<Budget>) -> Result<Body, Rejection> {
     let length = header::body_length(conn.request_headers())?;
     if length.is_some_and(|length| length > limit.size.0) {
@@ -114,10 +115,10 @@
 ) -> Result<(), Rejection> {
     permit.extend(length)?;
     let length = usize::try_from(length).map_err(|_| Rejection::NoMemory)?;
-    bytes.reserve_exact(length.min(MAX_PREALLOCATED));
+    bytes.reserve_exact(length.min(MAX_PREALLOCATED_BYTES));
     let mut read = 0;
     while read < length {
-        let next = length.min((2 * read).max(MAX_PREALLOCATED));
+        let next = length.min((2 * read).max(MAX_PREALLOCATED_BYTES));
         bytes.resize(next, 0);
         reader.read_exact(&mut bytes[read..]).await.map_err(|e| reject(&e, limit))?;
         read = next;
@@ -131,7 +132,7 @@
     permit: &mut Permit,
     bytes: &mut Vec<u8>,
 ) -> Result<(), Rejection> {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     loop {
         let read = reader.read(&mut chunk).await.map_err(|e| reject(&e, limit))?;
         if read == 0 {
--- a/components/server/src/handler/admin.rs
+++ b/components/server/src/handler/admin.rs
@@ -1,6 +1,6 @@
-//! Routes for operators and for the platform.
+//! Routes for operators, probes and metrics.
 
-use super::Interface;
+use super::Api;
 use crate::{
     backend::{Overview, Readiness},
     problem::Prior,
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use trillium::Conn;
 
-impl Interface {
+impl Api {
     pub(super) fn home(&self) -> Reply {
         Reply::json(200, &Home { token: self.backend.token().to_string() })
     }
@@ -37,7 +37,7 @@
     }
 
     pub(super) fn ready(&self) -> Reply {
-        let readiness = self.backend.ready();
+        let readiness = self.backend.readiness();
         let status = match readiness {
             Readiness::Ready => 200,
             Readiness::NoSettings | Readiness::Draining => 503,
@@ -46,13 +46,13 @@
     }
 }
 
-/// The current home token.
+/// Body of the response with the current home token.
 #[derive(Debug, Serialize)]
 struct Home {
     token: String,
 }
 
-/// A planned stop was started.
+/// Body of the response to a drain request.
 #[derive(Debug, Serialize)]
 struct Drain {
     draining: bool,
--- a/components/server/src/handler/jobs.rs
+++ b/components/server/src/handler/jobs.rs
@@ -1,15 +1,16 @@
-//! Jobs.
+//! Routes of jobs.
 
-use super::{Interface, query};
+use super::{Api, query};
 use crate::{
     Rejection,
-    backend::{Fetched, Keyed},
-    body, guard,
-    header::{self, Head, Name},
+    backend::{Fetched, KeyedAnswer},
+    body,
+    header::{self, Identifier, Params},
     job::{self, Job},
     problem::Prior,
     reply::Reply,
-    submit::{Scope, job_name},
+    submit::{Context, job_identifier},
+    timeout,
 };
 use dispatch::action::Status;
 use serde::Serialize;
@@ -21,71 +22,71 @@
 use std::sync::Arc;
 use trillium::Conn;
 
-/// Waiting time of a fetch that names none.
-const FETCH_WAIT: Span = Span::from_secs(5);
+/// Default waiting time of a fetch.
+const DEFAULT_FETCH_WAIT: Span = Span::from_secs(5);
 
-/// Shortest waiting time of a fetch: enough to ask another entry.
+/// Minimum waiting time of a fetch, enough to query another entry.
 const MIN_FETCH_WAIT: Span = Span::from_millis(100);
 
-/// What the body of an unreadable job holds if it names a submission.
+/// Bytes that a job's body contains if it identifies a submission, even if it can't be parsed.
 const ID_FIELD: &[u8] = b"\"id\"";
 
-impl Interface {
-    /// A new job.
+impl Api {
+    /// Handles the submission of a job.
     pub(super) async fn submit(&self, conn: &mut Conn) -> Reply {
         let mut prior = match header::prior(conn.request_headers()) {
-            Prior::None if says_first(conn) => Prior::None,
-            // The body may name a submission until it has been read.
+            Prior::None if claims_first(conn) => Prior::None,
+            // Until the body is read, it may identify a submission.
             _ => Prior::Possible,
         };
-        match self.run_submit(conn, &mut prior).await {
+        match self.try_submit(conn, &mut prior).await {
             Ok(reply) => reply,
             Err(rejection) => Reply::rejection(&rejection, prior, None),
         }
     }
 
-    async fn run_submit(&self, conn: &mut Conn, prior: &mut Prior) -> Result<Reply, Rejection> {
+    async fn try_submit(&self, conn: &mut Conn, prior: &mut Prior) -> Result<Reply, Rejection> {
         let wait = query::wait_flag(conn.querystring())?;
         let index = self.index();
         let firm = self.firm(conn.request_headers(), &index)?;
-        let mut head = Head::parse(conn.request_headers())?;
+        let mut params = Params::parse(conn.request_headers())?;
         let site = self.backend.site();
-        let scope = Scope { site: &site, index: &index, firm, token: self.backend.token() };
-        let _ticket = self.waiters.enter()?;
+        let context = Context { site: &site, index: &index, firm, token: self.backend.token() };
+        let _permit = self.waiters.acquire()?;
         let body = body::read(conn, self.limit(self.options.job_limit), &self.budget).await?;
-        if head.name == Name::None && !contains(&body.bytes, ID_FIELD) {
+        if params.identifier == Identifier::None && !contains(&body.bytes, ID_FIELD) {
             *prior = Prior::None;
         }
         let job = Job::parse(&body.bytes)?;
-        head.name = job_name(&head.name, job.id.as_deref())?;
-        let submission = scope.job(&head, job, conn.start_time().elapsed())?;
+        params.identifier = job_identifier(&params.identifier, job.id.as_deref())?;
+        let submission = context.job(&params, job, conn.start_time().elapsed())?;
         if wait {
-            Ok(self.run_job(conn, &head, submission).await)
+            Ok(self.run_job(conn, &params, submission).await)
         } else {
-            self.begin(&head, submission)
+            self.begin(&params, submission)
         }
     }
 
-    async fn run_job(&self, conn: &mut Conn, head: &Head, submission: Submission) -> Reply {
+    async fn run_job(&self, conn: &mut Conn, params: &Params, submission: Submission) -> Reply {
         let id = submission.id;
-        match self.wait(conn, head, submission).await {
-            Some(Keyed { id, answer }) => reply(id, &answer),
+        match self.wait(conn, params, submission).await {
+            Some(KeyedAnswer { id, answer }) => reply(id, &answer),
             None => Reply::rejection(&Rejection::Abandoned, Prior::Possible, Some(id)),
         }
     }
 
-    fn begin(&self, head: &Head, submission: Submission) -> Result<Reply, Rejection> {
-        if matches!(head.name, Name::Key(_)) {
+    fn begin(&self, params: &Params, submission: Submission) -> Result<Reply, Rejection> {
+        if matches!(params.identifier, Identifier::Key(_)) {
             return Err(Rejection::KeyWithoutWait);
         }
         let id = submission.id;
-        self.backend.begin(Arc::new(submission));
+        self.backend.submit_detached(Arc::new(submission));
         Ok(Reply::pending(id, &Pending { id: id.to_string(), outcome: "pending" }))
     }
 
-    /// How far a job has come.
+    /// Handles a query of a job's progress.
     pub(super) async fn status(&self, conn: &mut Conn, id: SubmissionId) -> Reply {
-        let firm = match self.check(conn, query::none) {
+        let firm = match self.authenticate(conn, query::none) {
             Ok((firm, ())) => firm,
             Err(rejection) => return Reply::rejection(&rejection, Prior::Possible, Some(id)),
         };
@@ -95,20 +96,21 @@
         }
     }
 
-    /// The answer of a job, if it is ready in time.
+    /// Handles a fetch of a job's answer, which waits for a limited time.
     pub(super) async fn answer(&self, conn: &mut Conn, id: SubmissionId) -> Reply {
-        match self.run_answer(conn, id).await {
+        match self.try_answer(conn, id).await {
             Ok(reply) => reply,
             Err(rejection) => Reply::rejection(&rejection, Prior::Possible, Some(id)),
         }
     }
 
-    async fn run_answer(&self, conn: &mut Conn, id: SubmissionId) -> Result<Reply, Rejection> {
-        let (firm, wait) = self.check(conn, query::wait_time)?;
-        let wait = wait.unwrap_or(FETCH_WAIT).clamp(MIN_FETCH_WAIT, self.options.fetch_limit);
-        let _ticket = self.waiters.enter()?;
-        if let Some(guard) = guard::of(conn) {
-            guard.wait();
+    async fn try_answer(&self, conn: &mut Conn, id: SubmissionId) -> Result<Reply, Rejection> {
+        let (firm, wait) = self.authenticate(conn, query::wait_time)?;
+        let wait =
+            wait.unwrap_or(DEFAULT_FETCH_WAIT).clamp(MIN_FETCH_WAIT, self.options.fetch_limit);
+        let _permit = self.waiters.acquire()?;
+        if let Some(connection) = timeout::of(conn) {
+            connection.start_wait();
         }
         let backend = self.backend.clone();
         let fetched = conn
@@ -123,9 +125,9 @@
         })
     }
 
-    /// The end of a job at its caller's wish.
+    /// Handles the cancellation of a job.
     pub(super) async fn cancel(&self, conn: &mut Conn, id: SubmissionId) -> Reply {
-        let firm = match self.check(conn, query::none) {
+        let firm = match self.authenticate(conn, query::none) {
             Ok((firm, ())) => firm,
             Err(rejection) => return Reply::rejection(&rejection, Prior::Possible, Some(id)),
         };
@@ -138,8 +140,8 @@
         }
     }
 
-    /// The firm that asks and what it asks in the query.
-    fn check<T>(
+    /// Authenticates the firm and parses the query string with `query`.
+    fn authenticate<T>(
         &self,
         conn: &Conn,
         query: impl FnOnce(&str) -> Result<T, Rejection>,
@@ -149,14 +151,14 @@
     }
 }
 
-/// A submission without an answer yet.
+/// Body of the response for a submission without an answer yet.
 #[derive(Debug, Serialize)]
 struct Pending {
     id: String,
     outcome: &'static str,
 }
 
-/// How far a submission has come.
+/// Body of the response with the progress of a submission.
 #[derive(Debug, Serialize)]
 struct Progress {
     id: String,
@@ -170,7 +172,7 @@
     }
 }
 
-/// A cancelled submission.
+/// Body of the response for a cancelled submission.
 #[derive(Debug, Serialize)]
 struct Cancelled {
     id: String,
@@ -184,7 +186,7 @@
     }
 }
 
-/// The complete answer to a job.
+/// Creates the response with the complete answer to a job.
 pub(super) fn complete(id: SubmissionId, outputs: &[Output]) -> Reply {
     Reply::complete(id, job::render(&id.to_string(), outputs))
 }
@@ -196,14 +198,15 @@
     }
 }
 
-/// Another firm's job is as unknown as one that never was; it may have run either way.
+/// Creates the response for an unknown job. Another firm's job is reported in the same way as one
+/// that never existed; in both cases the outcome is "may have run".
 fn unknown(id: SubmissionId) -> Reply {
     let failure =
         Failure { outcome: Outcome::MayHaveRun, reason: Reason::Unknown, retry_after: None };
     Reply::failure(&failure, Some(id))
 }
 
-fn says_first(conn: &Conn) -> bool {
+fn claims_first(conn: &Conn) -> bool {
     conn.request_headers().get_str(header::FIRST) == Some("true")
 }
 
--- a/components/server/src/handler/mod.rs
+++ b/components/server/src/handler/mod.rs
@@ -1,4 +1,4 @@
-//! The handler of all routes.
+//! HTTP handler of all routes.
 
 mod admin;
 mod jobs;
@@ -9,11 +9,12 @@
 use crate::{
     Backend, Options, Rejection,
     body::{Budget, Limit},
-    guard, header,
-    key::{Holder, Index},
+    header,
+    key::{Index, Principal},
     problem::Prior,
     reply::Reply,
     route::Route,
+    timeout,
 };
 use parking_lot::RwLock;
 use site::{
@@ -23,24 +24,24 @@
 use std::sync::Arc;
 use trillium::{Conn, Handler, Headers};
 
-/// Answers every request.
-pub struct Interface {
+/// Handles every request of the HTTP API.
+pub struct Api {
     backend: Arc<dyn Backend>,
     options: Options,
-    /// Of the settings in force, or older; see [`Interface::index`].
+    /// Index of the settings in force or of older ones; see [`Api::index`].
     index: RwLock<Arc<Index>>,
     budget: Arc<Budget>,
-    waiters: waiter::Counter,
+    waiters: waiter::WaiterLimit,
 }
 
-impl Interface {
-    /// An interface to `backend`.
-    pub fn new(backend: Arc<dyn Backend>, options: Options) -> Interface {
-        Interface {
+impl Api {
+    /// Creates a handler that serves requests from `backend`.
+    pub fn new(backend: Arc<dyn Backend>, options: Options) -> Api {
+        Api {
             backend,
             index: RwLock::default(),
             budget: Budget::new(options.body_memory),
-            waiters: waiter::Counter::new(options.waiters),
+            waiters: waiter::WaiterLimit::new(options.waiters),
             options,
         }
     }
@@ -66,30 +67,30 @@
         }
     }
 
-    /// The index over the settings in force.
+    /// Returns the index of the settings in force, and rebuilds it if they have changed.
     fn index(&self) -> Arc<Index> {
         let revision = self.backend.revision();
         let index = self.index.read().clone();
-        if index.is_of(revision) {
+        if index.is_for(revision) {
             return index;
         }
-        // The site may be newer than `revision`; then the next request builds once more.
+        // The site may be newer than `revision`; the next request then rebuilds the index.
         let index = Arc::new(Index::build(&self.backend.site(), revision));
         *self.index.write() = index.clone();
         index
     }
 
     fn firm(&self, headers: &Headers, index: &Index) -> Result<FirmId, Rejection> {
-        match header::bearer(headers).and_then(|key| index.holder(key)) {
-            Some(Holder::Firm(firm)) => Ok(firm),
-            Some(Holder::Operator(_)) | None => Err(Rejection::Key),
+        match header::bearer(headers).and_then(|key| index.principal(key)) {
+            Some(Principal::Firm(firm)) => Ok(firm),
+            Some(Principal::Operator(_)) | None => Err(Rejection::Key),
         }
     }
 
     fn operator(&self, headers: &Headers) -> Result<OperatorId, Rejection> {
-        match header::bearer(headers).and_then(|key| self.index().holder(key)) {
-            Some(Holder::Operator(operator)) => Ok(operator),
-            Some(Holder::Firm(_)) | None => Err(Rejection::Key),
+        match header::bearer(headers).and_then(|key| self.index().principal(key)) {
+            Some(Principal::Operator(operator)) => Ok(operator),
+            Some(Principal::Firm(_)) | None => Err(Rejection::Key),
         }
     }
 
@@ -99,10 +100,10 @@
 }
 
 #[trillium::async_trait]
-impl Handler for Interface {
+impl Handler for Api {
     async fn run(&self, mut conn: Conn) -> Conn {
-        if let Some(guard) = guard::of(&mut conn) {
-            guard.handle();
+        if let Some(connection) = timeout::of(&mut conn) {
+            connection.start_body();
         }
         let reply = self.respond(&mut conn).await;
         reply.send(conn, self.backend.token())
--- a/components/server/src/handler/query.rs
+++ b/components/server/src/handler/query.rs
@@ -1,11 +1,11 @@
-//! Query parameters.
+//! Parses query parameters.
 
 use crate::Rejection;
 use site::unit::Span;
 
 const WAIT: &str = "wait";
 
-/// Whether `wait` is `true`, the default, or `false`.
+/// Parses `wait` as a flag; the default is `true`.
 pub(super) fn wait_flag(query: &str) -> Result<bool, Rejection> {
     match value(query, WAIT)? {
         None | Some("true") => Ok(true),
@@ -14,17 +14,17 @@
     }
 }
 
-/// How long `wait` says to wait.
+/// Parses `wait` as a time; `None` if it is absent.
 pub(super) fn wait_time(query: &str) -> Result<Option<Span>, Rejection> {
     value(query, WAIT)?.map(|text| text.parse().map_err(|_| Rejection::MalformedQuery)).transpose()
 }
 
-/// No parameters at all.
+/// Rejects any parameters.
 pub(super) fn none(query: &str) -> Result<(), Rejection> {
     if query.is_empty() { Ok(()) } else { Err(Rejection::MalformedQuery) }
 }
 
-/// The value of the only parameter that is allowed.
+/// Returns the value of the parameter `name`, the only one allowed.
 fn value<'q>(query: &'q str, name: &str) -> Result<Option<&'q str>, Rejection> {
     if query.is_empty() {
         return Ok(None);
--- a/components/server/src/handler/waiter.rs
+++ b/components/server/src/handler/waiter.rs
@@ -1,36 +1,36 @@
-//! Counting the callers that wait.
+//! Limits the number of callers that wait for an answer.
 
 use crate::Rejection;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts the callers that wait, up to a limit.
+/// Counts the waiting callers, up to a limit.
 #[derive(Debug)]
-pub(super) struct Counter {
+pub(super) struct WaiterLimit {
     limit: usize,
     waiting: AtomicUsize,
 }
 
-impl Counter {
-    pub(super) fn new(limit: usize) -> Counter {
-        Counter { limit, waiting: AtomicUsize::new(0) }
+impl WaiterLimit {
+    pub(super) fn new(limit: usize) -> WaiterLimit {
+        WaiterLimit { limit, waiting: AtomicUsize::new(0) }
     }
 
-    /// Counts one more caller, as long as the ticket is kept.
-    pub(super) fn enter(&self) -> Result<Ticket<'_>, Rejection> {
-        let ticket = Ticket { counter: self };
+    /// Counts one more caller until the returned permit is dropped.
+    pub(super) fn acquire(&self) -> Result<Permit<'_>, Rejection> {
+        let permit = Permit { limit: self };
         let before = self.waiting.fetch_add(1, Ordering::Relaxed);
-        if before < self.limit { Ok(ticket) } else { Err(Rejection::TooManyWaiters) }
+        if before < self.limit { Ok(permit) } else { Err(Rejection::TooManyWaiters) }
     }
 }
 
-/// A caller that waits.
+/// Permit of one waiting caller, released on drop.
 #[derive(Debug)]
-pub(super) struct Ticket<'c> {
-    counter: &'c Counter,
+pub(super) struct Permit<'c> {
+    limit: &'c WaiterLimit,
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        self.counter.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.limit.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/components/server/src/header.rs
+++ b/components/server/src/header.rs
@@ -1,4 +1,4 @@
-//! The headers of the interface and what a caller says in them.
+//! Headers of the HTTP API, and the submission parameters that callers pass in them.
 
 use crate::{Rejection, problem::Prior};
 use compact_str::CompactString;
@@ -6,59 +6,59 @@
 use std::time::Duration;
 use trillium::{Headers, KnownHeaderName};
 
-/// The current home token, on every answer.
+/// Response header with the current home token; on every response.
 pub const HOME: &str = "primrosestep-home";
-/// The submission, on requests and answers.
+/// Identifier of the submission, on requests and responses.
 pub const ID: &str = "primrosestep-id";
-/// The outcome of the submission, on answers.
+/// Response header with the outcome of the submission.
 pub const OUTCOME: &str = "primrosestep-outcome";
-/// The firm's crew that the work is for.
+/// Request header with the crew of the firm that the work is for.
 pub const CREW: &str = "primrosestep-crew";
-/// `false` when the request may not run again although its service allows it.
+/// Request header; `false` if the request must not run again although its service allows it.
 pub const REPEATABLE: &str = "primrosestep-repeatable";
-/// Time left until the caller stops waiting.
+/// Request header with the time left until the caller stops waiting.
 pub const DEADLINE: &str = "primrosestep-deadline";
-/// `true` when the caller never sent this id or key before.
+/// Request header; `true` if the caller never sent this id or key before.
 pub const FIRST: &str = "primrosestep-first";
-/// A key of the caller's own making.
+/// Request header with an idempotency key that the caller has chosen.
 pub const KEY: &str = "idempotency-key";
 
 const MAX_KEY_LEN: usize = 128;
 const BEARER: &str = "Bearer ";
 
-/// How a submission is named.
+/// How a request identifies its submission.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Name {
-    /// Not at all; the entry makes an identifier.
+pub enum Identifier {
+    /// Not at all; the entry creates an identifier.
     None,
-    /// By an identifier made with a home token.
+    /// By an identifier that the caller created with a home token.
     Id(SubmissionId),
-    /// By a key of the caller's own making.
+    /// By an idempotency key that the caller has chosen.
     Key(CompactString),
 }
 
-/// What a caller says in the headers of a submission.
+/// Submission parameters from the headers.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Head {
-    /// How the submission is named.
-    pub name: Name,
-    /// Whether the caller says that it never sent this name before.
+pub struct Params {
+    /// How the submission is identified.
+    pub identifier: Identifier,
+    /// Whether the caller states that it never sent this identifier before.
     pub first: bool,
-    /// The crew, by name.
+    /// Name of the crew; `None` for the firm's default crew.
     pub crew: Option<CompactString>,
-    /// Whether the request may run again, where the service allows it.
+    /// Whether the request may run again, if the service allows it.
     pub repeatable: bool,
-    /// Time left until the caller stops waiting, never zero.
+    /// Time left until the caller stops waiting, never zero; `None` for the service's default.
     pub deadline: Option<Span>,
     /// Media type of the body.
     pub content_type: CompactString,
 }
 
-impl Head {
-    /// What `headers` say.
-    pub fn parse(headers: &Headers) -> Result<Head, Rejection> {
-        Ok(Head {
-            name: parse_name(headers)?,
+impl Params {
+    /// Parses the parameters in `headers`.
+    pub fn parse(headers: &Headers) -> Result<Params, Rejection> {
+        Ok(Params {
+            identifier: parse_identifier(headers)?,
             first: parse_flag(headers, FIRST)?.unwrap_or(false),
             crew: headers.get_str(CREW).map(CompactString::from),
             repeatable: parse_flag(headers, REPEATABLE)?.unwrap_or(true),
@@ -68,19 +68,19 @@
     }
 }
 
-/// Whether an earlier request may have submitted what these headers name.
+/// Returns whether an earlier request may have submitted what these headers identify.
 pub fn prior(headers: &Headers) -> Prior {
     let named = headers.has_header(ID) || headers.has_header(KEY);
     let first = matches!(parse_flag(headers, FIRST), Ok(Some(true)));
     if named && !first { Prior::Possible } else { Prior::None }
 }
 
-/// The key in the `Authorization` header.
+/// Returns the bearer key in the `Authorization` header.
 pub fn bearer(headers: &Headers) -> Option<&str> {
     headers.get_str(KnownHeaderName::Authorization)?.strip_prefix(BEARER)
 }
 
-/// The announced length of a body; `None` when it comes in chunks.
+/// Returns the declared length of a body; `None` if it is chunked.
 pub fn body_length(headers: &Headers) -> Result<Option<u64>, Rejection> {
     let lengths = headers.get_values(KnownHeaderName::ContentLength);
     if headers.has_header(KnownHeaderName::TransferEncoding) {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A span of time that must not be zero or negative.
+/// Parses a deadline, which must be positive.
 pub fn parse_deadline(text: &str) -> Result<Span, Rejection> {
     if let Some(rest) = text.strip_prefix('-') {
         let negative = rest.parse::<Span>().map_err(|_| Rejection::MalformedDeadline);
@@ -112,8 +112,8 @@
     }
 }
 
-/// What is left of `deadline` after `elapsed`.
-pub fn left(deadline: Span, elapsed: Duration) -> Result<Span, Rejection> {
+/// Returns what remains of `deadline` after `elapsed`.
+pub fn remaining(deadline: Span, elapsed: Duration) -> Result<Span, Rejection> {
     let elapsed = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX);
     match deadline - Span(elapsed) {
         Span::ZERO => Err(Rejection::DeadlinePassed),
@@ -121,13 +121,13 @@
     }
 }
 
-fn parse_name(headers: &Headers) -> Result<Name, Rejection> {
+fn parse_identifier(headers: &Headers) -> Result<Identifier, Rejection> {
     let id = single(headers, ID)?;
     let key = single(headers, KEY)?;
     match (id, key) {
-        (None, None) => Ok(Name::None),
-        (Some(id), None) => id.parse().map(Name::Id).map_err(|_| Rejection::MalformedId),
-        (None, Some(key)) => parse_key(key).map(Name::Key),
+        (None, None) => Ok(Identifier::None),
+        (Some(id), None) => id.parse().map(Identifier::Id).map_err(|_| Rejection::MalformedId),
+        (None, Some(key)) => parse_key(key).map(Identifier::Key),
         (Some(_), Some(_)) => Err(Rejection::AmbiguousId),
     }
 }
--- a/components/server/src/job.rs
+++ b/components/server/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as JSON.
+//! JSON format of jobs and their answers.
 
 use crate::Rejection;
 use base64::{Engine as _, engine::general_purpose::STANDARD as BASE64};
@@ -15,60 +15,60 @@
 const TEXT: &str = "text/plain; charset=utf-8";
 const BASE64_NAME: &str = "base64";
 
-/// A job as callers send it.
+/// A job in the request of a caller.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job<'b> {
-    /// The service, by name.
+    /// Name of the service.
     pub service: CompactString,
-    /// The crew, by name.
+    /// Name of the crew; `None` for the one in the headers.
     #[serde(default)]
     pub crew: Option<CompactString>,
-    /// An identifier made with a home token.
+    /// Identifier that the caller created with a home token.
     #[serde(default)]
     pub id: Option<CompactString>,
-    /// Whether a task may run again, where the service allows it.
+    /// Whether a task may run again, if the service allows it.
     #[serde(default)]
     pub repeatable: Option<bool>,
-    /// Time left until the caller stops waiting.
+    /// Time left until the caller stops waiting; `None` for the one in the headers.
     #[serde(default)]
     pub deadline: Option<CompactString>,
-    /// At least one and at most [`MAX_TASKS`].
+    /// Tasks; at least one and at most [`MAX_TASKS`].
     #[serde(borrow)]
-    pub tasks: Vec<Item<'b>>,
+    pub tasks: Vec<TaskInput<'b>>,
 }
 
-/// A task as callers send it.
+/// A task in the request of a caller.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Item<'b> {
-    /// A text, sent as it is; or any other JSON, sent as JSON.
+pub struct TaskInput<'b> {
+    /// Body for the endpoint: the content of a JSON string, or any other JSON value as it is.
     #[serde(borrow)]
     pub body: &'b RawValue,
-    /// Media type of the body.
+    /// Media type of the body; `None` for the default of its form.
     #[serde(default)]
     pub content_type: Option<CompactString>,
-    /// How the text of the body is coded.
+    /// Encoding of a body that is a string; `None` for plain text.
     #[serde(default)]
     pub encoding: Option<Encoding>,
-    /// What the caller believes the task needs.
+    /// Caller's estimate of the resources that the task needs.
     #[serde(default)]
     pub needs: Resources,
-    /// How long the caller believes the task runs.
+    /// Caller's estimate of the run time of the task; zero if unknown.
     #[serde(default)]
     pub run_time: Span,
 }
 
-/// How a text stands for bytes.
+/// Encoding of bytes as text.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Encoding {
-    /// RFC 4648 with padding.
+    /// Base64 of RFC 4648 with padding.
     Base64,
 }
 
 impl<'b> Job<'b> {
-    /// The job in `bytes`.
+    /// Parses the job in `bytes`.
     pub fn parse(bytes: &'b [u8]) -> Result<Job<'b>, Rejection> {
         let job: Job<'_> = serde_json::from_slice(bytes).map_err(|e| reject(&e))?;
         match job.tasks.len() {
@@ -79,12 +79,12 @@
     }
 }
 
-/// The tasks of a job.
-pub fn tasks(items: Vec<Item<'_>>, limit: Memory) -> Result<Vec<Task>, Rejection> {
+/// Converts the tasks of a job; `limit` is the maximum size of a task's body.
+pub fn parse_tasks(items: Vec<TaskInput<'_>>, limit: Memory) -> Result<Vec<Task>, Rejection> {
     items.into_iter().enumerate().map(|(index, item)| task(index, item, limit)).collect()
 }
 
-fn task(index: usize, item: Item<'_>, limit: Memory) -> Result<Task, Rejection> {
+fn task(index: usize, item: TaskInput<'_>, limit: Memory) -> Result<Task, Rejection> {
     let (body, content_type) = body(index, &item)?;
     if body.len() as u64 > limit.0 {
         return Err(Rejection::LargeTask { index, limit });
@@ -92,7 +92,7 @@
     Ok(Task { body, content_type, needs: item.needs, run_time: item.run_time })
 }
 
-fn body(index: usize, item: &Item<'_>) -> Result<(Bytes, CompactString), Rejection> {
+fn body(index: usize, item: &TaskInput<'_>) -> Result<(Bytes, CompactString), Rejection> {
     let given = item.content_type.as_deref();
     let raw = item.body.get();
     let as_json = given.is_some_and(is_json) && item.encoding.is_none();
@@ -119,23 +119,23 @@
     }
 }
 
-/// Whether a media type is JSON.
+/// Returns whether a media type is JSON.
 fn is_json(content_type: &str) -> bool {
     let media = content_type.split(';').next().unwrap_or_default().trim();
     media.eq_ignore_ascii_case(JSON) || media.to_ascii_lowercase().ends_with("+json")
 }
 
-/// The answer to a job as callers get it.
+/// The complete answer to a job in the response.
 #[derive(Debug, Serialize)]
 struct Complete<'a> {
     id: &'a str,
     outcome: &'static str,
-    outputs: Vec<Shown<'a>>,
+    outputs: Vec<RenderedOutput<'a>>,
 }
 
-/// An output as callers get it.
+/// An output in the response.
 #[derive(Debug, Serialize)]
-struct Shown<'a> {
+struct RenderedOutput<'a> {
     status: u16,
     content_type: &'a str,
     body: Content<'a>,
@@ -150,14 +150,14 @@
     Base64(String),
 }
 
-/// The text of a complete answer.
+/// Renders a complete answer as JSON.
 pub fn render(id: &str, outputs: &[Output]) -> Vec<u8> {
-    let outputs = outputs.iter().map(show).collect();
+    let outputs = outputs.iter().map(render_output).collect();
     let complete = Complete { id, outcome: "complete", outputs };
     serde_json::to_vec(&complete).expect("texts and numbers are always JSON")
 }
 
-fn show(output: &Output) -> Shown<'_> {
+fn render_output(output: &Output) -> RenderedOutput<'_> {
     let raw = if is_json(&output.content_type) {
         serde_json::from_slice::<&RawValue>(&output.body).ok()
     } else {
@@ -167,5 +167,5 @@
         Some(raw) => (Content::Json(raw), None),
         None => (Content::Base64(BASE64.encode(&output.body)), Some(BASE64_NAME)),
     };
-    Shown { status: output.status, content_type: &output.content_type, body, encoding }
+    RenderedOutput { status: output.status, content_type: &output.content_type, body, encoding }
 }
--- a/components/server/src/key.rs
+++ b/components/server/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys: who a request is from.
+//! Authentication: finds the firm or operator that a key belongs to.
 
 use compact_str::CompactString;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -15,69 +15,75 @@
 /// SHA-256 digest of a key.
 type Digest = [u8; DIGEST_LEN];
 
-/// Who holds a key.
+/// Principal of a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Holder {
-    /// A firm.
+pub enum Principal {
+    /// A firm, which may submit work.
     Firm(FirmId),
-    /// An operator.
+    /// An operator, who may use the admin routes.
     Operator(OperatorId),
 }
 
-/// An index of the keys and contracts in the settings. Rebuilt when the settings change.
+/// Index of the keys and contracts in the settings. Rebuilt when the settings change.
 #[derive(Debug, Default)]
 pub struct Index {
-    /// What it was built from; `None` before the first.
+    /// Revision of the settings that it was built from; `None` before the first build.
     revision: Option<Revision>,
-    /// By the first bytes of the digest; holders whose digests share them stand together.
-    holders: FxHashMap<u64, Vec<(Digest, Holder)>>,
+    /// Principals by the first 8 bytes of their key's digest; a bucket has all those with equal
+    /// bytes.
+    principals: FxHashMap<u64, Vec<(Digest, Principal)>>,
     contracts: FxHashSet<(FirmId, ServiceId)>,
 }
 
 impl Index {
-    /// An index over `site`.
+    /// Builds the index of `site`.
     pub fn build(site: &Site, revision: Revision) -> Index {
-        let firms =
-            site.firms.iter().flat_map(|(id, firm)| entries(&firm.key_digests, Holder::Firm(*id)));
+        let firms = site
+            .firms
+            .iter()
+            .flat_map(|(id, firm)| digests_of(&firm.key_digests, Principal::Firm(*id)));
         let operators = site
             .operators
             .iter()
-            .flat_map(|(id, operator)| entries(&operator.key_digests, Holder::Operator(*id)));
-        let mut holders: FxHashMap<u64, Vec<_>> = FxHashMap::default();
-        for (digest, holder) in firms.chain(operators) {
-            holders.entry(prefix(&digest)).or_default().push((digest, holder));
+            .flat_map(|(id, operator)| digests_of(&operator.key_digests, Principal::Operator(*id)));
+        let mut principals: FxHashMap<u64, Vec<_>> = FxHashMap::default();
+        for (digest, principal) in firms.chain(operators) {
+            principals.entry(prefix(&digest)).or_default().push((digest, principal));
         }
         let contracts = site
             .contracts
             .iter()
             .map(|contract| (FirmId::of(&contract.firm), ServiceId::of(&contract.service)))
             .collect();
-        Index { revision: Some(revision), holders, contracts }
+        Index { revision: Some(revision), principals, contracts }
     }
 
-    /// Whether this index is of `revision`.
-    pub fn is_of(&self, revision: Revision) -> bool {
+    /// Returns whether the index was built from `revision`.
+    pub fn is_for(&self, revision: Revision) -> bool {
         self.revision == Some(revision)
     }
 
-    /// Who holds `key`.
-    pub fn holder(&self, key: &str) -> Option<Holder> {
+    /// Returns the holder of `key`; `None` if the key is unknown.
+    pub fn principal(&self, key: &str) -> Option<Principal> {
         let digest: Digest = Sha256::digest(key.as_bytes()).into();
-        self.holders
+        self.principals
             .get(&prefix(&digest))?
             .iter()
-            .find(|(known, _)| same(known, &digest))
-            .map(|(_, holder)| *holder)
+            .find(|(known, _)| equal(known, &digest))
+            .map(|(_, principal)| *principal)
     }
 
-    /// Whether `firm` may use `service`.
+    /// Returns whether `firm` has a contract for `service`.
     pub fn has_contract(&self, firm: FirmId, service: ServiceId) -> bool {
         self.contracts.contains(&(firm, service))
     }
 }
 
-fn entries(digests: &[CompactString], holder: Holder) -> impl Iterator<Item = (Digest, Holder)> {
-    digests.iter().filter_map(move |text| Some((parse_digest(text)?, holder)))
+fn digests_of(
+    digests: &[CompactString],
+    principal: Principal,
+) -> impl Iterator<Item = (Digest, Principal)> {
+    digests.iter().filter_map(move |text| Some((parse_digest(text)?, principal)))
 }
 
 fn parse_digest(text: &str) -> Option<Digest> {
@@ -96,8 +102,8 @@
     u64::from_le_bytes([a, b, c, d, e, f, g, h])
 }
 
-/// Compares in a time that does not depend on where the digests differ.
-fn same(a: &Digest, b: &Digest) -> bool {
+/// Compares in constant time, so that timing does not reveal where the digests differ.
+fn equal(a: &Digest, b: &Digest) -> bool {
     let difference = a.iter().zip(b).fold(0, |sum, (x, y)| black_box(sum | (x ^ y)));
     difference == 0
 }
--- a/components/server/src/lib.rs
+++ b/components/server/src/lib.rs
@@ -1,11 +1,10 @@
-//! The HTTP/1.1 interface of an entry for callers and operators.
+//! The HTTP/1.1 API of an entry for callers and operators.
 //!
-//! [`Server`] accepts connections, checks requests and hands them to a [`Backend`], which stands
-//! for the rest of the process. `docs/HTTP.md` describes the interface itself.
+//! [`Server`] accepts connections, checks requests and passes them to a [`Backend`], which
+//! represents the rest of the process. `docs/HTTP.md` describes the API.
 
 pub mod backend;
 pub mod body;
-pub mod guard;
 pub mod handler;
 pub mod header;
 pub mod job;
@@ -19,6 +18,7 @@
 pub mod route;
 pub mod server;
 pub mod submit;
+pub mod timeout;
 
 pub use backend::Backend;
 pub use options::Options;
--- a/components/server/src/listener.rs
+++ b/components/server/src/listener.rs
@@ -1,9 +1,9 @@
-//! A listening socket whose connections are served by the executor of `smol`.
+//! Listening socket whose connections are served by the executor of `smol`.
 //!
-//! `trillium_smol` serves them by an executor of its own, in a thread of its own: in a process that
-//! uses `smol` besides, each request wakes both. By a profile of 16 entries at 11 jobs a second each, that
-//! thread and the one that then polls sockets took 19% of the samples, and 2% with one executor; all
-//! samples became 5% fewer.
+//! `trillium_smol` uses its own executor with its own thread. In a process that also uses `smol`,
+//! each request then wakes both executors. In a profile of 16 entries at 11 jobs per second each,
+//! that thread and the one that polls sockets took 19% of the samples, against 2% with a single
+//! executor; the total number of samples dropped by 5%.
 
 use smol::net::TcpListener;
 use std::{future::Future, io, pin::Pin};
@@ -11,7 +11,7 @@
 use trillium_server_common::Server;
 use trillium_smol::{SmolTransport, async_net::TcpStream};
 
-/// A listening socket.
+/// Listening socket on the executor of `smol`.
 #[derive(Debug)]
 pub struct Listener(TcpListener);
 
@@ -30,7 +30,7 @@
     }
 
     fn info(&self) -> Info {
-        // Only tells callers of the library where it listens; nobody here asks.
+        // Only informs users of the library about the address; not used here.
         self.0.local_addr().map(Info::from).unwrap_or_default()
     }
 
--- a/components/server/src/options.rs
+++ b/components/server/src/options.rs
@@ -1,27 +1,28 @@
-//! Limits of the interface.
+//! Limits of the HTTP API.
 
 use serde::{Deserialize, Serialize};
 use site::unit::{Memory, Span};
 
-/// Limits of the interface. Each has a default.
+/// Limits of the HTTP API. Each has a default.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Options {
-    /// A whole request, head and body, arrives within this time of its first byte.
+    /// Maximum time from the first byte of a request until its head and body have arrived.
     pub receive_limit: Span,
-    /// A whole answer is taken within this time of its first byte.
+    /// Maximum time from the first byte of a response until the caller has received all of it.
     pub send_limit: Span,
-    /// A connection without a request is closed after this time.
+    /// Time after which a connection without a request is closed.
     pub idle_limit: Span,
-    /// Callers that may wait for an answer at one time.
+    /// Maximum number of callers that wait for an answer at the same time.
     pub waiters: usize,
-    /// Connections that may be open at one time. Above `waiters`, so that the excess is told.
+    /// Maximum number of open connections. Higher than `waiters`, so that excess callers get a
+    /// response.
     pub connections: usize,
-    /// Largest body of a job, all tasks together.
+    /// Maximum size of the body of a job with all its tasks.
     pub job_limit: Memory,
-    /// Memory for the bodies of all requests at one time.
+    /// Maximum memory for the bodies of all current requests.
     pub body_memory: Memory,
-    /// Longest time that a fetch may wait.
+    /// Maximum time that a fetch may wait.
     pub fetch_limit: Span,
 }
 
--- a/components/server/src/problem.rs
+++ b/components/server/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem details (RFC 9457): how every refusal and failure is told.
+//! Problem details (RFC 9457), the format of all rejections and failures.
 
 use crate::Rejection;
 use serde::Serialize;
@@ -15,48 +15,50 @@
 
 const UNKNOWN_PRIOR: &str = "whether an earlier request ran is not known here";
 
-/// Whether an earlier request may have submitted what a turned away request names.
+/// Whether an earlier request may have submitted what a rejected request identifies.
 ///
-/// It decides what a rejection may promise: only what was certainly never submitted did not run.
+/// Determines the outcome that a rejection reports: `NotRun` is only correct if it was certainly
+/// never submitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Prior {
-    /// The request names nothing, or its caller says that it is the first to do so.
+    /// The request identifies no submission, or its caller states that it is the first with this
+    /// identifier.
     None,
-    /// The request names, or may name, a submission of an earlier request.
+    /// The request identifies, or may identify, a submission of an earlier request.
     Possible,
 }
 
-/// A problem.
+/// A problem details object.
 #[derive(Clone, Debug, Serialize)]
 pub struct Problem {
-    /// A URI of the kind of problem; ends in the reason.
+    /// URI of the kind of problem; ends with the reason.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind of problem in words.
+    /// Human-readable summary of the kind of problem.
     pub title: &'static str,
-    /// The HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// This occurrence in words.
+    /// Human-readable explanation of this occurrence.
     pub detail: String,
-    /// What is known about the submission.
+    /// Whether the submission ran, as far as known.
     pub outcome: Outcome,
-    /// The word that programs tell the kind of problem by.
+    /// Machine-readable code of the kind of problem.
     pub reason: &'static str,
-    /// The submission, where there is one.
+    /// Identifier of the submission; absent if there is none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
-    /// When to try again, in milliseconds; absent when that would not help.
+    /// Time until a retry is useful, in milliseconds; absent if a retry would not help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The same with full precision.
+    /// Same as `retry_after_ms` with full precision, for the `Retry-After` header.
     #[serde(skip)]
     pub retry_after: Option<Span>,
 }
 
 impl Problem {
-    /// The problem that tells of a failed submission.
+    /// Creates the problem of a failed submission.
     pub fn failure(failure: &Failure, id: Option<SubmissionId>) -> Problem {
-        let kind = Kind::of(failure.reason);
+        let kind = FailureKind::of(failure.reason);
         Problem {
             kind: format!("{TYPE_PREFIX}{}", kind.reason),
             title: kind.title,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The problem that tells of a request that was turned away.
+    /// Creates the problem of a rejected request.
     pub fn rejection(rejection: &Rejection, prior: Prior, id: Option<SubmissionId>) -> Problem {
         let reason = rejection.reason();
         let retry_after = rejection.retry_after();
@@ -93,15 +95,15 @@
 }
 
 /// Status, reason and title of a kind of failure.
-struct Kind {
+struct FailureKind {
     status: u16,
     reason: &'static str,
     title: &'static str,
 }
 
-impl Kind {
-    /// The one place that maps failures to HTTP.
-    fn of(reason: Reason) -> Kind {
+impl FailureKind {
+    /// Maps a failure to HTTP; the only place that does so.
+    fn of(reason: Reason) -> FailureKind {
         let (status, reason, title) = match reason {
             Reason::Deadline => (504, "deadline", "the deadline passed"),
             Reason::Overload => (429, "overload", "the deadline could not have been met"),
@@ -120,7 +122,7 @@
             Reason::Size => (413, "size", "too few or too many tasks, or a body is too large"),
             Reason::Endpoint => (502, "endpoint", "an endpoint failed a task"),
         };
-        Kind { status, reason, title }
+        FailureKind { status, reason, title }
     }
 }
 
@@ -132,7 +134,7 @@
     }
 }
 
-/// The outcome as it stands in headers and problems.
+/// Returns the name of an outcome in headers and problems.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::NotRun => "not-run",
--- a/components/server/src/rejection.rs
+++ b/components/server/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that the interface itself turns away, before anything was submitted.
+//! Rejections of requests by the HTTP API itself, before anything is submitted.
 
 use derive_more::{Display, Error};
 use site::{
@@ -6,10 +6,10 @@
     unit::{Memory, Span},
 };
 
-/// When a caller may come back to an entry that is out of a resource.
+/// Time until a caller may retry at an entry that is out of waiters or memory.
 const RETRY_AFTER: Span = Span::from_secs(1);
 
-/// Why a request was turned away.
+/// Reason for which a request is rejected.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum Rejection {
     /// No route has this path.
@@ -18,10 +18,10 @@
     /// The route has no such method.
     #[display("method not allowed here: use {allowed}")]
     Method {
-        /// The methods that it has.
+        /// Methods of the route, as in the `Allow` header.
         allowed: &'static str,
     },
-    /// No key, or one that is nobody's.
+    /// The key is missing, unknown, or of the wrong kind of holder.
     #[display("an `Authorization: Bearer` header with a valid key is needed")]
     Key,
     /// The service is not in the settings.
@@ -36,25 +36,25 @@
     /// An identifier is malformed.
     #[display("malformed id: expected a home token, '.' and a UUID")]
     MalformedId,
-    /// An identifier and a key, or an identifier twice.
+    /// The request has both an id and a key, or one of them twice.
     #[display("give either an id or an Idempotency-Key, once")]
     AmbiguousId,
     /// A caller's key is empty, too long or not printable ASCII.
     #[display("malformed Idempotency-Key: expected 1 to 128 printable ASCII characters")]
     MalformedKey,
-    /// A key can only be used by callers that wait.
+    /// A key was used with `wait=false`; keys require a caller that waits.
     #[display("an Idempotency-Key needs wait=true; use an id instead")]
     KeyWithoutWait,
     /// A deadline is malformed.
     #[display("malformed deadline: expected a whole number and one of us, ms, s, min")]
     MalformedDeadline,
-    /// A deadline is zero, negative, or passed before the request was read.
+    /// A deadline is zero or negative, or passed before the request was read.
     #[display("the deadline has passed")]
     DeadlinePassed,
-    /// A header that is either `true` or `false` is neither.
+    /// A boolean header is neither `true` nor `false`.
     #[display("malformed {header}: expected true or false")]
     MalformedFlag {
-        /// The header.
+        /// Name of the header.
         header: &'static str,
     },
     /// A query parameter is unknown or malformed.
@@ -63,33 +63,33 @@
     /// A content length is malformed or given twice.
     #[display("malformed Content-Length")]
     MalformedLength,
-    /// A body coding other than `chunked`.
+    /// The transfer coding is not `chunked`.
     #[display("unsupported Transfer-Encoding: expected chunked")]
     UnsupportedCoding,
     /// A body ended early or its framing is broken.
     #[display("the body ended before its announced length")]
     TruncatedBody,
-    /// A body did not arrive in time.
+    /// The request did not arrive in time.
     #[display("the request did not arrive within {limit}")]
     SlowBody {
-        /// The limit.
+        /// Limit that was exceeded.
         limit: Span,
     },
-    /// A body is over the limit.
+    /// A body exceeds the limit.
     #[display("the body is larger than {limit}")]
     LargeBody {
-        /// The limit.
+        /// Limit that was exceeded.
         limit: Memory,
     },
-    /// A task's body is over the service's limit.
+    /// A task's body exceeds the service's limit.
     #[display("the body of task {index} is larger than {limit}")]
     LargeTask {
-        /// Position of the task, from 0.
+        /// Index of the task, from 0.
         index: usize,
-        /// The limit.
+        /// Limit that was exceeded.
         limit: Memory,
     },
-    /// A job's body is no JSON.
+    /// The body of a job is not JSON.
     #[display("malformed JSON at line {line}, column {column}")]
     MalformedJson {
         /// Counts from 1.
@@ -97,16 +97,16 @@
         /// Counts from 1.
         column: usize,
     },
-    /// A job's body is JSON but no job.
+    /// The body of a job is JSON but not a job.
     #[display("not a job: {detail}")]
     MalformedJob {
-        /// What is wrong, and where.
+        /// Error of the JSON parser, with line and column.
         detail: String,
     },
-    /// A task's body says that it is base64 and is not.
+    /// A task's body is declared as base64 and is not.
     #[display("the body of task {index} is not base64 text")]
     MalformedEncoding {
-        /// Position of the task, from 0.
+        /// Index of the task, from 0.
         index: usize,
     },
     /// A job has no tasks.
@@ -115,22 +115,22 @@
     /// A job has too many tasks.
     #[display("the job has {tasks} tasks; at most {MAX_TASKS} are allowed")]
     TooManyTasks {
-        /// How many.
+        /// Number of tasks in the job.
         tasks: usize,
     },
-    /// The caller closed its side of the connection while its submission went on.
+    /// The caller closed its side of the connection while its submission was in progress.
     #[display("the connection was closed before the answer was ready; fetch it by its id")]
     Abandoned,
-    /// Too many callers wait for answers here.
+    /// Too many callers wait for answers at this entry.
     #[display("too many callers are waiting at this entry")]
     TooManyWaiters,
-    /// The bodies of other requests take all memory.
+    /// The bodies of other requests use all of the memory budget.
     #[display("no memory for the body now")]
     NoMemory,
 }
 
 impl Rejection {
-    /// The HTTP status that tells it.
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             Rejection::NoRoute | Rejection::UnknownService => 404,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The word that programs tell it by.
+    /// Returns the machine-readable code.
     pub fn reason(&self) -> &'static str {
         match self {
             Rejection::NoRoute => "no-route",
@@ -194,7 +194,7 @@
         }
     }
 
-    /// When to come back; `None` when that would not help.
+    /// Returns the time until a retry is useful; `None` if a retry would not help.
     pub fn retry_after(&self) -> Option<Span> {
         match self {
             Rejection::TooManyWaiters | Rejection::NoMemory => Some(RETRY_AFTER),
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Whether unread bytes of the request may remain, so that the connection can't be used again.
-    pub fn leaves_bytes(&self) -> bool {
+    /// Returns whether bytes of the request may be unread, so that the connection can't be reused.
+    pub fn leaves_unread_bytes(&self) -> bool {
         !matches!(
             self,
             Rejection::MalformedJson { .. }
--- a/components/server/src/reply.rs
+++ b/components/server/src/reply.rs
@@ -1,8 +1,9 @@
-//! Answers to callers.
+//! HTTP responses to callers.
 
 use crate::{
-    Problem, Rejection, guard, header,
+    Problem, Rejection, header,
     problem::{self, outcome_name},
+    timeout,
 };
 use serde::Serialize;
 use site::{
@@ -18,7 +19,7 @@
 const COMPLETE: &str = "complete";
 const PENDING: &str = "pending";
 
-/// An answer to a caller.
+/// A response to a caller.
 #[derive(Debug)]
 pub struct Reply {
     status: u16,
@@ -26,11 +27,12 @@
     body: Vec<u8>,
     id: Option<SubmissionId>,
     outcome: Option<&'static str>,
-    /// Whole seconds.
+    /// Value of `Retry-After` in whole seconds.
     retry_after: Option<u64>,
     location: Option<String>,
     allowed: Option<&'static str>,
-    /// Whether the connection is closed after it because bytes of the request may remain.
+    /// Whether the connection is closed after the response because bytes of the request may be
+    /// unread.
     unread: bool,
 }
 
@@ -49,41 +51,41 @@
         }
     }
 
-    /// A text.
+    /// Creates a plain text response.
     pub fn text(status: u16, text: impl Into<String>) -> Reply {
         Reply::new(status, "text/plain; charset=utf-8", text.into().into_bytes())
     }
 
-    /// A JSON document.
+    /// Creates a JSON response.
     pub fn json(status: u16, value: &impl Serialize) -> Reply {
         let body = serde_json::to_vec(value).expect("answers have text keys only");
         Reply::new(status, JSON, body)
     }
 
-    /// An endpoint's answer, passed through whole.
+    /// Creates a response with the status, media type and body of an endpoint's output.
     pub fn output(id: SubmissionId, output: &Output) -> Reply {
         let content_type = output.content_type.to_string();
         let reply = Reply::new(output.status, content_type, output.body.to_vec());
         Reply { id: Some(id), outcome: Some(COMPLETE), ..reply }
     }
 
-    /// The complete answer to a job.
+    /// Creates the response with the complete answer to a job.
     pub fn complete(id: SubmissionId, body: Vec<u8>) -> Reply {
         Reply { id: Some(id), outcome: Some(COMPLETE), ..Reply::new(200, JSON, body) }
     }
 
-    /// A submission that has no answer yet; `value` says more.
+    /// Creates the response for a submission without an answer yet, with `value` as its body.
     pub fn pending(id: SubmissionId, value: &impl Serialize) -> Reply {
         let location = Some(format!("/v1/jobs/{id}"));
         Reply { id: Some(id), outcome: Some(PENDING), location, ..Reply::json(202, value) }
     }
 
-    /// A failed submission.
+    /// Creates the response for a failed submission.
     pub fn failure(failure: &Failure, id: Option<SubmissionId>) -> Reply {
         Reply { id, ..Reply::problem(&Problem::failure(failure, id)) }
     }
 
-    /// A request that was turned away.
+    /// Creates the response for a rejected request.
     pub fn rejection(
         rejection: &Rejection,
         prior: problem::Prior,
@@ -93,7 +95,7 @@
             Rejection::Method { allowed } => Some(*allowed),
             _ => None,
         };
-        let unread = rejection.leaves_bytes();
+        let unread = rejection.leaves_unread_bytes();
         let reply = Reply::problem(&Problem::rejection(rejection, prior, id));
         Reply { id, allowed, unread, ..reply }
     }
@@ -108,10 +110,10 @@
         }
     }
 
-    /// Puts the answer on `conn`.
+    /// Writes the response to `conn`, with the current home token.
     pub fn send(self, mut conn: Conn, token: Token) -> Conn {
-        if let Some(guard) = guard::of(&mut conn) {
-            guard.answer(self.unread);
+        if let Some(connection) = timeout::of(&mut conn) {
+            connection.start_response(self.unread);
         }
         let keep_alive = conn.inner().http_version() == Version::Http1_1;
         let headers = conn.response_headers_mut();
@@ -141,7 +143,7 @@
     }
 }
 
-/// The library's status; one that it does not know becomes the first of its class.
+/// Converts a status code to the library's type. An unknown code becomes the first of its class.
 fn status(code: u16) -> Status {
     Status::try_from(code)
         .or_else(|_| Status::try_from(code / 100 * 100))
--- a/components/server/src/route.rs
+++ b/components/server/src/route.rs
@@ -1,38 +1,38 @@
-//! Routes.
+//! Routes of the HTTP API.
 
 use crate::{Rejection, backend::Overview};
 use site::id::SubmissionId;
 use trillium::Method;
 
-/// What a request asks for.
+/// The operation that a request's method and path select.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Route<'p> {
-    /// The current home token.
+    /// Returns the current home token.
     Home,
-    /// A single request to the service of this name.
+    /// Runs a single request on the service of this name.
     Request(&'p str),
-    /// A job.
+    /// Submits a job.
     Submit,
-    /// How far a job has come.
+    /// Returns the progress of a job.
     Status(SubmissionId),
-    /// The answer of a job.
+    /// Waits for the answer to a job.
     Answer(SubmissionId),
-    /// The cancellation of a job.
+    /// Cancels a job.
     Cancel(SubmissionId),
-    /// A view for operators.
+    /// Renders a view for operators.
     Show(Overview),
-    /// A planned stop.
+    /// Starts a drain.
     Drain,
-    /// All metrics.
+    /// Renders the metrics.
     Metrics,
-    /// Whether the process lives.
+    /// Liveness probe.
     Live,
-    /// Whether new work is wanted.
+    /// Readiness probe.
     Ready,
 }
 
 impl<'p> Route<'p> {
-    /// The route of `method` and `path`.
+    /// Returns the route of `method` and `path`.
     pub fn parse(method: Method, path: &'p str) -> Result<Route<'p>, Rejection> {
         let mut parts = path.strip_prefix('/').unwrap_or(path).splitn(5, '/');
         let parts: [Option<&str>; 5] = std::array::from_fn(|_| parts.next());
--- a/components/server/src/server.rs
+++ b/components/server/src/server.rs
@@ -1,18 +1,18 @@
-//! The listening socket.
+//! Runs the HTTP API on a listening socket.
 
 use crate::{
     Backend, Options,
-    guard::Limits,
-    handler::Interface,
+    handler::Api,
     listen::{self, BindError},
+    timeout::Timeouts,
 };
 use std::{net::SocketAddr, sync::Arc};
 use trillium_server_common::ServerHandle;
 
-/// Size of a usual answer in bytes.
-const RESPONSE_BUFFER: usize = 4 << 10;
+/// Size of a typical response in bytes.
+const RESPONSE_BUFFER_BYTES: usize = 4 << 10;
 
-/// A running interface.
+/// A running HTTP API.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -20,7 +20,7 @@
 }
 
 impl Server {
-    /// Listens on `address` and answers from `backend`.
+    /// Listens on `address` and serves requests from `backend`.
     ///
     /// # Errors
     ///
@@ -30,25 +30,25 @@
         backend: Arc<dyn Backend>,
         options: Options,
     ) -> Result<Server, BindError> {
-        let (listener, address) = listen::listen(address).await?;
+        let (listener, address) = listen::bind(address).await?;
         let handle = trillium_smol::config()
             .without_signals()
             .with_nodelay()
             .with_max_connections(Some(options.connections))
-            .with_http_config(listen::config(RESPONSE_BUFFER))
-            .with_acceptor(Limits::from(&options))
+            .with_http_config(listen::http_config(RESPONSE_BUFFER_BYTES))
+            .with_acceptor(Timeouts::from(&options))
             .with_prebound_server(listener)
-            .spawn(Interface::new(backend, options));
+            .spawn(Api::new(backend, options));
         Ok(Server { address, handle })
     }
 
-    /// Where it listens.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes idle connections, waits until every request in progress has its answer, and closes
-    /// the listening socket. Connections made meanwhile get no answer, so drain first.
+    /// Closes idle connections, waits until every request in progress has its response, and closes
+    /// the listening socket. New connections during this time get no response, so drain first.
     pub async fn stop(&self) {
         self.handle.stop().await;
     }
--- a/components/server/src/submit.rs
+++ b/components/server/src/submit.rs
@@ -1,8 +1,8 @@
-//! Turning requests into submissions.
+//! Converts requests into submissions.
 
 use crate::{
     Rejection,
-    header::{Head, Name},
+    header::{Identifier, Params},
     job::{self, Job},
     key::Index,
 };
@@ -16,21 +16,21 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// Who asks, and under which settings.
+/// The caller's firm and the settings that a request is checked against.
 #[derive(Clone, Copy, Debug)]
-pub struct Scope<'s> {
+pub struct Context<'s> {
     /// The settings in force.
     pub site: &'s Site,
-    /// The index over them.
+    /// Index of the keys and contracts in `site`.
     pub index: &'s Index,
     /// The firm whose key the request carries.
     pub firm: FirmId,
-    /// For identifiers that the entry makes.
+    /// Home token for identifiers that the entry creates.
     pub token: Token,
 }
 
-impl<'s> Scope<'s> {
-    /// The service called `name`, if the firm may use it.
+impl<'s> Context<'s> {
+    /// Returns the service called `name` if the firm has a contract for it.
     pub fn service(&self, name: &str) -> Result<(ServiceId, &'s Service), Rejection> {
         let id = ServiceId::of(name);
         let service = self.site.services.get(&id).ok_or(Rejection::UnknownService)?;
@@ -40,53 +40,54 @@
         Ok((id, service))
     }
 
-    /// A single request.
+    /// Creates the submission of a single request.
     pub fn single(
         &self,
-        head: &Head,
+        params: &Params,
         (service, terms): (ServiceId, &Service),
         body: Bytes,
         elapsed: Duration,
     ) -> Result<Submission, Rejection> {
         let task = Task {
             body,
-            content_type: head.content_type.clone(),
+            content_type: params.content_type.clone(),
             needs: Resources::default(),
             run_time: Span::ZERO,
         };
         Ok(Submission {
-            id: self.id(&head.name),
+            id: self.id(&params.identifier),
             kind: Kind::Single,
             firm: self.firm,
-            crew: self.crew(head.crew.as_deref())?,
+            crew: self.crew(params.crew.as_deref())?,
             service,
-            repeatable: terms.repeatable && head.repeatable,
-            deadline: crate::header::left(head.deadline.unwrap_or(terms.deadline), elapsed)?,
+            repeatable: terms.repeatable && params.repeatable,
+            deadline: crate::header::remaining(params.deadline.unwrap_or(terms.deadline), elapsed)?,
             tasks: vec![task],
         })
     }
 
-    /// A job. What the job says goes before what the headers say, where both may.
+    /// Creates the submission of a job. Values in the job take precedence over those in the
+    /// headers; the job is repeatable only if both allow it.
     pub fn job(
         &self,
-        head: &Head,
+        params: &Params,
         job: Job<'_>,
         elapsed: Duration,
     ) -> Result<Submission, Rejection> {
         let (service, terms) = self.service(&job.service)?;
         let named = job.deadline.as_deref().map(crate::header::parse_deadline).transpose()?;
-        let deadline = named.or(head.deadline).unwrap_or(terms.deadline);
-        let crew = job.crew.as_deref().or(head.crew.as_deref());
-        let repeatable = job.repeatable.unwrap_or(true) && head.repeatable;
+        let deadline = named.or(params.deadline).unwrap_or(terms.deadline);
+        let crew = job.crew.as_deref().or(params.crew.as_deref());
+        let repeatable = job.repeatable.unwrap_or(true) && params.repeatable;
         Ok(Submission {
-            id: self.id(&head.name),
+            id: self.id(&params.identifier),
             kind: Kind::Job,
             firm: self.firm,
             crew: self.crew(crew)?,
             service,
             repeatable: terms.repeatable && repeatable,
-            deadline: crate::header::left(deadline, elapsed)?,
-            tasks: job::tasks(job.tasks, terms.body_limit)?,
+            deadline: crate::header::remaining(deadline, elapsed)?,
+            tasks: job::parse_tasks(job.tasks, terms.body_limit)?,
         })
     }
 
@@ -99,19 +100,26 @@
         if known { Ok(CrewId::of(name)) } else { Err(Rejection::UnknownCrew) }
     }
 
-    fn id(&self, name: &Name) -> SubmissionId {
-        match name {
-            Name::Id(id) => *id,
-            Name::None | Name::Key(_) => SubmissionId { token: self.token, unique: Uuid::new_v4() },
+    fn id(&self, identifier: &Identifier) -> SubmissionId {
+        match identifier {
+            Identifier::Id(id) => *id,
+            Identifier::None | Identifier::Key(_) => {
+                SubmissionId { token: self.token, unique: Uuid::new_v4() }
+            }
         }
     }
 }
 
-/// How a job is named by its headers and itself together.
-pub fn job_name(head: &Name, job: Option<&str>) -> Result<Name, Rejection> {
-    match (head, job) {
-        (name, None) => Ok(name.clone()),
-        (Name::None, Some(id)) => id.parse().map(Name::Id).map_err(|_| Rejection::MalformedId),
-        (Name::Id(_) | Name::Key(_), Some(_)) => Err(Rejection::AmbiguousId),
+/// Combines the identifier in the headers with the id in the job's body.
+pub fn job_identifier(
+    from_headers: &Identifier,
+    job: Option<&str>,
+) -> Result<Identifier, Rejection> {
+    match (from_headers, job) {
+        (identifier, None) => Ok(identifier.clone()),
+        (Identifier::None, Some(id)) => {
+            id.parse().map(Identifier::Id).map_err(|_| Rejection::MalformedId)
+        }
+        (Identifier::Id(_) | Identifier::Key(_), Some(_)) => Err(Rejection::AmbiguousId),
     }
 }
--- a/components/server/src/guard.rs
+++ b/components/server/src/timeout.rs
@@ -1,8 +1,8 @@
 //! Time limits on a connection.
 //!
-//! The HTTP library reads heads and writes answers without limits of its own. A [`Guard`] stands
-//! between it and the socket, follows the phases of the exchange and ends it when one takes too
-//! long.
+//! The HTTP library reads request heads and writes responses without time limits. A
+//! [`TimedConnection`] wraps the socket, tracks the phases of the exchange and fails reads or
+//! writes when a phase takes too long.
 
 use crate::Options;
 use async_trait::async_trait;
@@ -26,17 +26,17 @@
     async_net::{TcpStream, unix::UnixStream},
 };
 
-/// Bytes that a caller may send ahead while it waits for an answer.
-const MAX_AHEAD: usize = 64 << 10;
+/// Maximum bytes that a caller may pipeline while it waits for a response.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
-/// Bytes that are read and discarded before a connection is closed, so that the caller sees the
-/// answer and not a reset.
-const MAX_DISCARDED: usize = 1 << 20;
+/// Maximum bytes that are read and discarded before a connection is closed, so that the caller
+/// receives the response and not a reset.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 
-/// Longest time for the same.
-const DISCARD_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum time spent on sending the final response and discarding input before the close.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-const SLOW_HEAD: &[u8] = concat!(
+const SLOW_HEAD_RESPONSE: &[u8] = concat!(
     "HTTP/1.1 408 Request Timeout\r\n",
     "Content-Type: application/problem+json\r\nConnection: close\r\nContent-Length: 185\r\n\r\n",
     r#"{"type":"urn:primrosestep:problem:slow-head","title":"the request was turned away","#,
@@ -45,7 +45,7 @@
 )
 .as_bytes();
 
-const MALFORMED_HEAD: &[u8] = concat!(
+const MALFORMED_HEAD_RESPONSE: &[u8] = concat!(
     "HTTP/1.1 400 Bad Request\r\n",
     "Content-Type: application/problem+json\r\nConnection: close\r\nContent-Length: 192\r\n\r\n",
     r#"{"type":"urn:primrosestep:problem:malformed-head","title":"the request was turned away","#,
@@ -54,41 +54,42 @@
 )
 .as_bytes();
 
-/// What an exchange is at.
+/// Phase of an HTTP exchange.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
-    /// Nothing of a request has arrived.
+    /// No byte of a request has arrived.
     Idle,
-    /// Part of a head has arrived.
+    /// Part of a request head has arrived.
     Head,
-    /// The handler has the head and may read the body.
+    /// The handler has the head and may be reading the body.
     Body,
-    /// The caller waits for its answer.
+    /// The request is complete and the caller waits for the response.
     Wait,
-    /// The answer is written.
+    /// The response is being written.
     Send,
 }
 
-/// A connection with time limits.
+/// A connection with a time limit for each phase.
 #[derive(Debug)]
-pub struct Guard<T: Transport> {
-    /// `None` only while dropped.
+pub struct TimedConnection<T: Transport> {
+    /// The wrapped connection; `None` only while it is being dropped.
     inner: Option<T>,
-    limits: Limits,
+    timeouts: Timeouts,
     phase: Phase,
-    /// End of the phase; `None` where it has no limit.
+    /// End of the current phase; `None` if it has no limit.
     deadline: Option<Instant>,
-    /// Fires at or before `deadline`, where the connection waits; set anew when it fired too early.
+    /// Fires at or before `deadline` while the connection is being polled; re-armed if it fired too
+    /// early.
     timer: Option<Alarm>,
-    /// Bytes that arrived in [`Phase::Wait`].
-    ahead: usize,
-    /// Sent when the connection is closed.
-    farewell: Option<&'static [u8]>,
-    /// Whether bytes may remain unread when the connection is closed.
+    /// Bytes that arrived during [`Phase::Wait`].
+    pipelined_bytes: usize,
+    /// Response that is sent before the connection is closed; `None` for none.
+    final_response: Option<&'static [u8]>,
+    /// Whether bytes of the request may be unread when the connection is closed.
     unread: bool,
 }
 
-/// A timer and when it fires.
+/// A timer and the time at which it fires.
 #[derive(Debug)]
 struct Alarm {
     at: Instant,
@@ -97,15 +98,15 @@
 
 /// Time limits of the phases.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct Timeouts {
     idle: Duration,
     receive: Duration,
     send: Duration,
 }
 
-impl From<&Options> for Limits {
-    fn from(options: &Options) -> Limits {
-        Limits {
+impl From<&Options> for Timeouts {
+    fn from(options: &Options) -> Timeouts {
+        Timeouts {
             idle: duration(options.idle_limit),
             receive: duration(options.receive_limit),
             send: duration(options.send_limit),
@@ -114,58 +115,59 @@
 }
 
 #[async_trait]
-impl<T: Transport> Acceptor<T> for Limits {
-    type Output = Guard<T>;
+impl<T: Transport> Acceptor<T> for Timeouts {
+    type Output = TimedConnection<T>;
     type Error = Infallible;
 
-    async fn accept(&self, input: T) -> Result<Guard<T>, Infallible> {
-        Ok(Guard::new(input, *self))
+    async fn accept(&self, input: T) -> Result<TimedConnection<T>, Infallible> {
+        Ok(TimedConnection::new(input, *self))
     }
 }
 
-/// The guard of a connection of [`crate::Server`].
-pub type SmolGuard = Guard<Binding<SmolTransport<TcpStream>, SmolTransport<UnixStream>>>;
+/// Connection type of [`crate::Server`].
+pub type SmolConnection =
+    TimedConnection<Binding<SmolTransport<TcpStream>, SmolTransport<UnixStream>>>;
 
-/// The guard of `conn`; `None` where the connection has none.
-pub fn of(conn: &mut Conn) -> Option<&mut SmolGuard> {
+/// Returns the timed connection of `conn`; `None` if it is of another type.
+pub fn of(conn: &mut Conn) -> Option<&mut SmolConnection> {
     conn.inner_mut().transport_mut().downcast_mut()
 }
 
-impl<T: Transport> Guard<T> {
-    fn new(inner: T, limits: Limits) -> Guard<T> {
-        Guard {
+impl<T: Transport> TimedConnection<T> {
+    fn new(inner: T, timeouts: Timeouts) -> TimedConnection<T> {
+        TimedConnection {
             inner: Some(inner),
-            limits,
+            timeouts,
             phase: Phase::Idle,
-            deadline: Instant::now().checked_add(limits.receive),
+            deadline: Instant::now().checked_add(timeouts.receive),
             timer: None,
-            ahead: 0,
-            farewell: None,
+            pipelined_bytes: 0,
+            final_response: None,
             unread: false,
         }
     }
 
-    /// The handler has the head. The time limit of the request stays.
-    pub fn handle(&mut self) {
+    /// Enters [`Phase::Body`], since the handler has the head. The deadline of the request stays.
+    pub fn start_body(&mut self) {
         self.phase = Phase::Body;
     }
 
-    /// The whole request is here and the caller waits, as long as it likes.
-    pub fn wait(&mut self) {
+    /// Enters [`Phase::Wait`], which has no time limit.
+    pub fn start_wait(&mut self) {
         self.phase = Phase::Wait;
         self.deadline = None;
-        self.ahead = 0;
+        self.pipelined_bytes = 0;
     }
 
-    /// The answer follows. `unread` tells that bytes of the request remain.
-    pub fn answer(&mut self, unread: bool) {
+    /// Enters [`Phase::Send`]. `unread` is true if bytes of the request may be unread.
+    pub fn start_response(&mut self, unread: bool) {
         self.phase = Phase::Send;
-        self.deadline = Instant::now().checked_add(self.limits.send);
+        self.deadline = Instant::now().checked_add(self.timeouts.send);
         self.unread = unread;
     }
 
     fn inner(&mut self) -> Pin<&mut T> {
-        Pin::new(self.inner.as_mut().expect("a guard has its connection until it is dropped"))
+        Pin::new(self.inner.as_mut().expect("the connection is only taken on drop"))
     }
 
     fn expired(&mut self, cx: &mut Context<'_>) -> bool {
@@ -187,16 +189,16 @@
         }
     }
 
-    /// Notes that `bytes` arrived; zero is the end of the stream.
+    /// Handles the arrival of `bytes`; zero is the end of the stream.
     fn received(&mut self, bytes: usize) -> io::Result<usize> {
         match self.phase {
             Phase::Idle if bytes > 0 => {
                 self.phase = Phase::Head;
-                self.deadline = Instant::now().checked_add(self.limits.receive);
+                self.deadline = Instant::now().checked_add(self.timeouts.receive);
             }
             Phase::Wait => {
-                self.ahead += bytes;
-                if self.ahead > MAX_AHEAD {
+                self.pipelined_bytes += bytes;
+                if self.pipelined_bytes > MAX_PIPELINED_BYTES {
                     return Err(ErrorKind::InvalidData.into());
                 }
             }
@@ -205,15 +207,15 @@
         Ok(bytes)
     }
 
-    fn time_out(&mut self) -> io::Error {
+    fn timeout_error(&mut self) -> io::Error {
         if self.phase == Phase::Head {
-            self.farewell = Some(SLOW_HEAD);
+            self.final_response = Some(SLOW_HEAD_RESPONSE);
         }
         ErrorKind::TimedOut.into()
     }
 }
 
-impl<T: Transport> AsyncRead for Guard<T> {
+impl<T: Transport> AsyncRead for TimedConnection<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -221,19 +223,19 @@
     ) -> Poll<io::Result<usize>> {
         if self.phase == Phase::Send {
             self.phase = Phase::Idle;
-            self.deadline = Instant::now().checked_add(self.limits.idle);
+            self.deadline = Instant::now().checked_add(self.timeouts.idle);
         }
         if let Poll::Ready(result) = self.inner().poll_read(cx, buf) {
             return Poll::Ready(result.and_then(|bytes| self.received(bytes)));
         }
         if self.expired(cx) {
-            return Poll::Ready(Err(self.time_out()));
+            return Poll::Ready(Err(self.timeout_error()));
         }
         Poll::Pending
     }
 }
 
-impl<T: Transport> AsyncWrite for Guard<T> {
+impl<T: Transport> AsyncWrite for TimedConnection<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -257,7 +259,7 @@
     }
 }
 
-impl<T: Transport> Transport for Guard<T> {
+impl<T: Transport> Transport for TimedConnection<T> {
     fn set_nodelay(&mut self, nodelay: bool) -> io::Result<()> {
         self.inner().set_nodelay(nodelay)
     }
@@ -267,33 +269,37 @@
     }
 }
 
-impl<T: Transport> Drop for Guard<T> {
+impl<T: Transport> Drop for TimedConnection<T> {
     fn drop(&mut self) {
-        let malformed = (self.phase == Phase::Head).then_some(MALFORMED_HEAD);
-        let farewell = self.farewell.or(malformed);
-        if farewell.is_none() && !self.unread {
+        let malformed = (self.phase == Phase::Head).then_some(MALFORMED_HEAD_RESPONSE);
+        let final_response = self.final_response.or(malformed);
+        if final_response.is_none() && !self.unread {
             return;
         }
         if let Some(inner) = self.inner.take() {
-            trillium_smol::spawn(close(inner, farewell.unwrap_or_default()));
+            trillium_smol::spawn(close(inner, final_response.unwrap_or_default()));
         }
     }
 }
 
-/// Sends the last bytes and closes without a reset, as far as the caller lets it.
-async fn close<T: Transport>(inner: T, farewell: &'static [u8]) {
+/// Sends the final response, if any, and closes the connection without a reset if the caller stops
+/// sending in time.
+async fn close<T: Transport>(inner: T, final_response: &'static [u8]) {
     let limit = async {
-        Timer::after(DISCARD_LIMIT).await;
+        Timer::after(CLOSE_TIMEOUT).await;
         Ok(())
     };
-    // The caller may be gone; there is nobody to tell.
-    let _ = smol::future::or(part(inner, farewell), limit).await;
+    // Errors are ignored, since the caller may be gone.
+    let _ = smol::future::or(send_and_discard(inner, final_response), limit).await;
 }
 
-async fn part<T: Transport>(mut inner: T, farewell: &'static [u8]) -> io::Result<()> {
-    inner.write_all(farewell).await?;
+async fn send_and_discard<T: Transport>(
+    mut inner: T,
+    final_response: &'static [u8],
+) -> io::Result<()> {
+    inner.write_all(final_response).await?;
     inner.close().await?;
-    let mut rest = inner.take(MAX_DISCARDED as u64);
+    let mut rest = inner.take(MAX_DISCARDED_BYTES as u64);
     let mut chunk = [0; 4096];
     while rest.read(&mut chunk).await? > 0 {}
     Ok(())
--- a/components/server/tests/common/mod.rs
+++ b/components/server/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fake of the process behind the interface, and a caller that writes raw bytes.
+//! A fake backend behind a running HTTP API, and a caller that writes raw bytes.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use async_trait::async_trait;
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use server::{
     Backend, Options, Server,
-    backend::{Fetched, Keyed, Overview, Readiness},
+    backend::{Fetched, KeyedAnswer, Overview, Readiness},
 };
 use sha2::{Digest, Sha256};
 use site::{
@@ -31,37 +31,37 @@
 pub const OPERATOR_KEY: &str = "the-key-of-an-operator";
 pub const ID: &str = "0-0-0-0.6f2c7b0e-5a4d-4f55-9a3c-3e2f6f0a1b2c";
 
-/// What happened behind the interface.
+/// Call that the fake backend received.
 #[derive(Debug)]
-pub enum Seen {
+pub enum BackendEvent {
     Submitted { submission: Arc<Submission>, key: Option<CompactString>, first: bool },
     Begun(Arc<Submission>),
     Abandoned,
     Drained,
 }
 
-pub struct Fake {
+pub struct FakeBackend {
     pub site: Mutex<Arc<Site>>,
     pub revision: Mutex<u64>,
-    /// `None` waits for what [`Bench::release`] says.
+    /// Answer to return at once; `None` waits for [`TestServer::release`].
     pub answer: Mutex<Option<Answer>>,
     pub readiness: Mutex<Readiness>,
     pub status: Mutex<Option<Status>>,
     pub draining: AtomicBool,
     released: smol::channel::Receiver<Answer>,
-    seen: Mutex<Sender<Seen>>,
+    seen: Mutex<Sender<BackendEvent>>,
 }
 
-struct Waiting<'f>(&'f Fake);
+struct Waiting<'f>(&'f FakeBackend);
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.0.see(Seen::Abandoned);
+        self.0.see(BackendEvent::Abandoned);
     }
 }
 
-impl Fake {
-    fn see(&self, seen: Seen) {
+impl FakeBackend {
+    fn see(&self, seen: BackendEvent) {
         self.seen.lock().send(seen).ok();
     }
 
@@ -82,7 +82,7 @@
 }
 
 #[async_trait]
-impl Backend for Fake {
+impl Backend for FakeBackend {
     fn token(&self) -> Token {
         Token { home: Home::default(), epoch: 7 }
     }
@@ -96,7 +96,7 @@
     }
 
     async fn submit(&self, submission: Arc<Submission>) -> Arc<Answer> {
-        self.see(Seen::Submitted { submission, key: None, first: false });
+        self.see(BackendEvent::Submitted { submission, key: None, first: false });
         self.answered().await
     }
 
@@ -105,13 +105,13 @@
         key: CompactString,
         first: bool,
         submission: Arc<Submission>,
-    ) -> Keyed {
-        self.see(Seen::Submitted { submission, key: Some(key), first });
-        Keyed { id: ID.parse().unwrap(), answer: self.answered().await }
+    ) -> KeyedAnswer {
+        self.see(BackendEvent::Submitted { submission, key: Some(key), first });
+        KeyedAnswer { id: ID.parse().unwrap(), answer: self.answered().await }
     }
 
-    fn begin(&self, submission: Arc<Submission>) {
-        self.see(Seen::Begun(submission));
+    fn submit_detached(&self, submission: Arc<Submission>) {
+        self.see(BackendEvent::Begun(submission));
     }
 
     async fn fetch(&self, _: SubmissionId, firm: FirmId, _: Span) -> Fetched {
@@ -131,7 +131,7 @@
         self.answered().await
     }
 
-    fn ready(&self) -> Readiness {
+    fn readiness(&self) -> Readiness {
         *self.readiness.lock()
     }
 
@@ -145,7 +145,7 @@
 
     fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
-        self.see(Seen::Drained);
+        self.see(BackendEvent::Drained);
     }
 }
 
@@ -195,23 +195,23 @@
     }
 }
 
-/// A running interface over a fake.
-pub struct Bench {
-    pub fake: Arc<Fake>,
-    pub seen: Receiver<Seen>,
+/// A running HTTP API with a fake backend.
+pub struct TestServer {
+    pub fake: Arc<FakeBackend>,
+    pub seen: Receiver<BackendEvent>,
     pub server: Server,
     release: smol::channel::Sender<Answer>,
 }
 
-impl Bench {
-    pub fn new() -> Bench {
-        Bench::with(Options::default())
+impl TestServer {
+    pub fn new() -> TestServer {
+        TestServer::with(Options::default())
     }
 
-    pub fn with(options: Options) -> Bench {
+    pub fn with(options: Options) -> TestServer {
         let (sender, seen) = channel();
         let (release, released) = smol::channel::unbounded();
-        let fake = Arc::new(Fake {
+        let fake = Arc::new(FakeBackend {
             site: Mutex::new(Arc::new(site())),
             revision: Mutex::new(1),
             answer: Mutex::new(Some(Answer::Complete(vec![output(200, "text/plain", b"cut")]))),
@@ -223,7 +223,7 @@
         });
         let address = "127.0.0.1:0".parse().unwrap();
         let server = smol::block_on(Server::start(address, fake.clone(), options)).unwrap();
-        Bench { fake, seen, server, release }
+        TestServer { fake, seen, server, release }
     }
 
     pub fn answer(&self, answer: Answer) {
@@ -234,7 +234,7 @@
         *self.fake.answer.lock() = None;
     }
 
-    /// Answers one caller that is held.
+    /// Answers one waiting caller.
     pub fn release(&self, answer: Answer) {
         self.release.try_send(answer).unwrap();
     }
@@ -247,7 +247,7 @@
         TcpStream::connect(self.address()).unwrap()
     }
 
-    /// Sends `bytes`, ends the sending side if `end`, and reads one answer.
+    /// Sends `bytes`, closes the sending side if `end`, and reads one response.
     pub fn raw(&self, bytes: &[u8], end: bool) -> Response {
         let mut stream = self.connect();
         stream.write_all(bytes).unwrap();
@@ -257,7 +257,7 @@
         read(&mut stream)
     }
 
-    /// Sends a request with the firm's key and reads the answer.
+    /// Sends a request with the firm's key and reads the response.
     pub fn send(&self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> Response {
         self.send_as(KEY, line, headers, body)
     }
@@ -274,7 +274,9 @@
 
     pub fn submission(&self) -> Arc<Submission> {
         match self.seen.recv().unwrap() {
-            Seen::Submitted { submission, .. } | Seen::Begun(submission) => submission,
+            BackendEvent::Submitted { submission, .. } | BackendEvent::Begun(submission) => {
+                submission
+            }
             other => panic!("expected a submission, not {other:?}"),
         }
     }
@@ -291,7 +293,7 @@
     [bytes.as_bytes(), b"\r\n", body].concat()
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Response {
     pub status: u16,
@@ -315,7 +317,7 @@
         serde_json::from_slice(&self.body).unwrap()
     }
 
-    /// Status, reason and outcome of a problem.
+    /// Returns status, reason and outcome of a problem.
     pub fn problem(&self) -> (u16, String, String) {
         assert_eq!(self.header("content-type"), Some("application/problem+json"));
         let json = self.json();
--- a/components/server/tests/failures.rs
+++ b/components/server/tests/failures.rs
@@ -1,8 +1,8 @@
-//! Failures of submissions as problems.
+//! Failed submissions are reported as problems.
 
 mod common;
 
-use common::{Bench, ID, failed};
+use common::{ID, TestServer, failed};
 use site::{
     submission::{Outcome, Reason},
     unit::Span,
@@ -29,10 +29,10 @@
 
 #[test]
 fn every_reason_has_a_problem() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let line = |reason| {
-        bench.answer(failed(Outcome::MayHaveRun, reason, None));
-        let response = bench.send("POST /v1/requests/check", &[], b"x");
+        server.answer(failed(Outcome::MayHaveRun, reason, None));
+        let response = server.send("POST /v1/requests/check", &[], b"x");
         let (status, reason, outcome) = response.problem();
         assert_eq!(response.header("primrosestep-outcome"), Some(outcome.as_str()));
         assert_eq!(response.header("retry-after"), None);
@@ -43,9 +43,9 @@
 
 #[test]
 fn problem_body() {
-    let bench = Bench::new();
-    bench.answer(failed(Outcome::NotRun, Reason::Overload, Some(Span::from_millis(1_200))));
-    let response = bench.send("POST /v1/requests/check", &[("Primrosestep-Id", ID)], b"x");
+    let server = TestServer::new();
+    server.answer(failed(Outcome::NotRun, Reason::Overload, Some(Span::from_millis(1_200))));
+    let response = server.send("POST /v1/requests/check", &[("Primrosestep-Id", ID)], b"x");
     assert_eq!(response.header("retry-after"), Some("2"));
     assert_eq!(response.header("primrosestep-id"), Some(ID));
     insta::assert_snapshot!(serde_json::to_string_pretty(&response.json()).unwrap());
@@ -53,14 +53,14 @@
 
 #[test]
 fn every_outcome_has_a_name() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     for (outcome, name) in [
         (Outcome::NotRun, "not-run"),
         (Outcome::MayHaveRun, "may-have-run"),
         (Outcome::RanAndFailed, "ran-and-failed"),
     ] {
-        bench.answer(failed(outcome, Reason::Deadline, None));
-        let response = bench.send("POST /v1/requests/check", &[], b"x");
+        server.answer(failed(outcome, Reason::Deadline, None));
+        let response = server.send("POST /v1/requests/check", &[], b"x");
         assert_eq!(response.problem().2, name);
     }
 }
--- a/components/server/tests/jobs.rs
+++ b/components/server/tests/jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs.
+//! Routes of jobs.
 
 mod common;
 
-use common::{Bench, ID, KEY, OTHER_KEY, Seen, failed, output};
+use common::{BackendEvent, ID, KEY, OTHER_KEY, TestServer, failed, output};
 use dispatch::action::Status;
 use serde_json::json;
 use site::{
@@ -20,7 +20,7 @@
 
 #[test]
 fn tasks_reach_the_submission() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let body = json!({
         "service": "check",
         "crew": "fitters",
@@ -36,8 +36,8 @@
               "accelerators": 0 }, "run_time": "40ms" },
         ],
     });
-    assert_eq!(bench.send(JOBS, &[], body.to_string().as_bytes()).status, 200);
-    let submission = bench.submission();
+    assert_eq!(server.send(JOBS, &[], body.to_string().as_bytes()).status, 200);
+    let submission = server.submission();
     assert_eq!(submission.id.to_string(), ID);
     assert_eq!(submission.kind, Kind::Job);
     assert_eq!(submission.service, ServiceId::of("check"));
@@ -61,13 +61,13 @@
 
 #[test]
 fn answer_holds_every_output() {
-    let bench = Bench::new();
-    bench.answer(Answer::Complete(vec![
+    let server = TestServer::new();
+    server.answer(Answer::Complete(vec![
         output(200, "application/json", br#"{"fits": true}"#),
         output(200, "image/png", b"\0\xff"),
         output(200, "application/json", b"broken"),
     ]));
-    let response = bench.send(JOBS, &[("Primrosestep-Id", ID)], &job(3));
+    let response = server.send(JOBS, &[("Primrosestep-Id", ID)], &job(3));
     assert_eq!(response.header("primrosestep-id"), Some(ID));
     assert_eq!(
         response.json(),
@@ -86,68 +86,68 @@
 }
 
 #[test]
-fn largest_job_is_taken() {
-    let bench = Bench::new();
-    assert_eq!(bench.send(JOBS, &[], &job(MAX_TASKS)).status, 200);
-    assert_eq!(bench.submission().tasks.len(), MAX_TASKS);
+fn largest_job_is_accepted() {
+    let server = TestServer::new();
+    assert_eq!(server.send(JOBS, &[], &job(MAX_TASKS)).status, 200);
+    assert_eq!(server.submission().tasks.len(), MAX_TASKS);
 }
 
 #[test]
 fn failure_is_a_problem_without_outputs() {
-    let bench = Bench::new();
-    bench.answer(failed(Outcome::RanAndFailed, Reason::Endpoint, None));
-    let response = bench.send(JOBS, &[], &job(2));
+    let server = TestServer::new();
+    server.answer(failed(Outcome::RanAndFailed, Reason::Endpoint, None));
+    let response = server.send(JOBS, &[], &job(2));
     assert_eq!(response.problem(), (502, "endpoint".into(), "ran-and-failed".into()));
     assert!(response.json().get("outputs").is_none());
 }
 
 #[test]
-fn caller_need_not_wait() {
-    let bench = Bench::new();
-    let response = bench.send("POST /v1/jobs?wait=false", &[("Primrosestep-Id", ID)], &job(1));
+fn job_can_be_submitted_without_waiting() {
+    let server = TestServer::new();
+    let response = server.send("POST /v1/jobs?wait=false", &[("Primrosestep-Id", ID)], &job(1));
     assert_eq!(response.status, 202);
     assert_eq!(response.header("location"), Some(format!("/v1/jobs/{ID}").as_str()));
-    assert!(matches!(bench.seen.recv().unwrap(), Seen::Begun(_)));
+    assert!(matches!(server.seen.recv().unwrap(), BackendEvent::Begun(_)));
 }
 
 #[test]
-fn status_tells_progress() {
-    let bench = Bench::new();
-    *bench.fake.status.lock() = Some(Status { tasks: 9, done: 4, finished: false });
-    let response = bench.send(&format!("GET /v1/jobs/{ID}"), &[], b"");
+fn status_reports_progress() {
+    let server = TestServer::new();
+    *server.fake.status.lock() = Some(Status { tasks: 9, done: 4, finished: false });
+    let response = server.send(&format!("GET /v1/jobs/{ID}"), &[], b"");
     let wanted = json!({ "id": ID, "tasks": 9, "done": 4, "finished": false });
     assert_eq!(response.json(), wanted);
 }
 
 #[test]
 fn answer_is_fetched_once_it_is_ready() {
-    let bench = Bench::new();
-    bench.hold();
+    let server = TestServer::new();
+    server.hold();
     let line = format!("GET /v1/jobs/{ID}/answer?wait=5s");
-    let pending = bench.send(&line, &[], b"");
+    let pending = server.send(&line, &[], b"");
     assert_eq!((pending.status, &pending.json()["outcome"]), (202, &json!("pending")));
-    bench.answer(Answer::Complete(vec![output(200, "application/json", b"1")]));
-    assert_eq!(bench.send(&line, &[], b"").json()["outputs"][0]["body"], 1);
+    server.answer(Answer::Complete(vec![output(200, "application/json", b"1")]));
+    assert_eq!(server.send(&line, &[], b"").json()["outputs"][0]["body"], 1);
 }
 
 #[test]
 fn job_of_another_firm_is_unknown() {
-    let bench = Bench::new();
-    *bench.fake.status.lock() = Some(Status { tasks: 9, done: 4, finished: false });
+    let server = TestServer::new();
+    *server.fake.status.lock() = Some(Status { tasks: 9, done: 4, finished: false });
     for line in [format!("GET /v1/jobs/{ID}"), format!("GET /v1/jobs/{ID}/answer")] {
-        let response = bench.send_as(OTHER_KEY, &line, &[], b"");
+        let response = server.send_as(OTHER_KEY, &line, &[], b"");
         assert_eq!(response.problem(), (404, "unknown".into(), "may-have-run".into()), "{line}");
     }
 }
 
 #[test]
-fn cancelled_job_is_told_as_done() {
-    let bench = Bench::new();
+fn cancelled_job_is_reported_as_success() {
+    let server = TestServer::new();
     let line = format!("DELETE /v1/jobs/{ID}");
-    bench.answer(failed(Outcome::NotRun, Reason::Cancelled, None));
-    let response = bench.send(&line, &[], b"");
+    server.answer(failed(Outcome::NotRun, Reason::Cancelled, None));
+    let response = server.send(&line, &[], b"");
     let wanted = json!({ "id": ID, "outcome": "not-run", "reason": "cancelled" });
     assert_eq!((response.status, response.json()), (200, wanted));
-    bench.answer(Answer::Complete(vec![output(200, "application/json", b"1")]));
-    assert_eq!(bench.send_as(KEY, &line, &[], b"").json()["outcome"], "complete");
+    server.answer(Answer::Complete(vec![output(200, "application/json", b"1")]));
+    assert_eq!(server.send_as(KEY, &line, &[], b"").json()["outcome"], "complete");
 }
--- a/components/server/tests/rejections.rs
+++ b/components/server/tests/rejections.rs
@@ -1,8 +1,8 @@
-//! Bad input: each kind has its own problem.
+//! Invalid requests: each kind is rejected with its own problem.
 
 mod common;
 
-use common::{Bench, ID, KEY, OPERATOR_KEY, OTHER_KEY, Response, Seen, read, request};
+use common::{BackendEvent, ID, KEY, OPERATOR_KEY, OTHER_KEY, Response, TestServer, read, request};
 use serde_json::json;
 use server::Options;
 use site::unit::{Memory, Span};
@@ -14,23 +14,23 @@
 const CHECK: &str = "POST /v1/requests/check";
 const JOBS: &str = "POST /v1/jobs";
 
-/// Name, request line and headers.
+/// Label, request line and headers.
 type Case<'c> = (&'c str, &'c str, &'c [(&'c str, &'c str)]);
 
-/// Status, reason, outcome and detail in a line each.
+/// Formats status, reason, outcome and detail of a response as one line.
 fn line(case: &str, response: &Response) -> String {
     let (status, reason, outcome) = response.problem();
     let detail = response.json()["detail"].as_str().unwrap().to_owned();
     format!("{case}: {status} {reason} {outcome}: {detail}\n")
 }
 
-fn assert_nothing_submitted(bench: &Bench) {
-    assert!(bench.seen.try_recv().is_err(), "a rejected request was submitted");
+fn assert_nothing_submitted(server: &TestServer) {
+    assert!(server.seen.try_recv().is_err(), "a rejected request was submitted");
 }
 
 #[test]
 fn headers() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let id = ("Primrosestep-Id", ID);
     let cases: [Case<'_>; 18] = [
         ("no such path", "GET /v2", &[]),
@@ -54,19 +54,19 @@
     ];
     let table: String = cases
         .into_iter()
-        .map(|(case, at, headers)| line(case, &bench.send(at, headers, b"")))
+        .map(|(case, at, headers)| line(case, &server.send(at, headers, b"")))
         .collect();
     insta::assert_snapshot!(table);
     let first = [id, ("Primrosestep-First", "true")];
-    let response = bench.send("POST /v1/requests/polish", &first, b"");
+    let response = server.send("POST /v1/requests/polish", &first, b"");
     assert_eq!(response.problem(), (404, "unknown-service".into(), "not-run".into()));
-    assert_eq!(bench.send("PUT /v1/jobs", &[], b"").header("allow"), Some("POST"));
-    assert_nothing_submitted(&bench);
+    assert_eq!(server.send("PUT /v1/jobs", &[], b"").header("allow"), Some("POST"));
+    assert_nothing_submitted(&server);
 }
 
 #[test]
 fn keys() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let cases = [
         ("unknown key", "nobody", CHECK),
         ("operator's key for work", OPERATOR_KEY, CHECK),
@@ -75,15 +75,15 @@
     ];
     let table: String = cases
         .into_iter()
-        .map(|(case, key, at)| line(case, &bench.send_as(key, at, &[], b"")))
+        .map(|(case, key, at)| line(case, &server.send_as(key, at, &[], b"")))
         .collect();
     insta::assert_snapshot!(table);
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
 fn jobs() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let job = |tasks: usize| {
         let tasks = vec![json!({ "body": 1 }); tasks];
         json!({ "service": "check", "tasks": tasks }).to_string()
@@ -112,97 +112,97 @@
     ];
     let table: String = cases
         .iter()
-        .map(|(case, body)| line(case, &bench.send(JOBS, &[], body.as_bytes())))
+        .map(|(case, body)| line(case, &server.send(JOBS, &[], body.as_bytes())))
         .collect();
     insta::assert_snapshot!(table);
 
-    let twice = bench.send(JOBS, &[("Primrosestep-Id", ID)], with("id", json!(ID)).as_bytes());
+    let twice = server.send(JOBS, &[("Primrosestep-Id", ID)], with("id", json!(ID)).as_bytes());
     assert_eq!(twice.problem().1, "ambiguous-id");
     let keyed =
-        bench.send("POST /v1/jobs?wait=false", &[("Idempotency-Key", "k")], job(1).as_bytes());
+        server.send("POST /v1/jobs?wait=false", &[("Idempotency-Key", "k")], job(1).as_bytes());
     assert_eq!(keyed.problem(), (400, "key-without-wait".into(), "may-have-run".into()));
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
 fn truncated_body() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let whole = request(KEY, CHECK, &[], b"cutout");
-    let response = bench.raw(&whole[..whole.len() - 2], true);
+    let response = server.raw(&whole[..whole.len() - 2], true);
     assert_eq!(response.problem(), (400, "truncated-body".into(), "not-run".into()));
     let chunked = request(KEY, CHECK, &[("Transfer-Encoding", "chunked")], b"");
     for chunks in [&b"9\r\ncut"[..], b"nine\r\ncut\r\n"] {
-        let response = bench.raw(&[&chunked, chunks].concat(), true);
+        let response = server.raw(&[&chunked, chunks].concat(), true);
         assert_eq!(response.problem().1, "truncated-body");
     }
     let whole = request(KEY, JOBS, &[], br#"{"service":"check","tasks":[]}"#);
-    let response = bench.raw(&whole[..whole.len() - 9], true);
+    let response = server.raw(&whole[..whole.len() - 9], true);
     assert_eq!(response.problem(), (400, "truncated-body".into(), "may-have-run".into()));
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
-fn announced_large_body_is_refused_unread() {
-    let bench = Bench::new();
+fn declared_large_body_is_rejected_unread() {
+    let server = TestServer::new();
     let head = request(KEY, CHECK, &[("Content-Length", "1025")], b"");
-    let response = bench.raw(&head, false);
+    let response = server.raw(&head, false);
     assert_eq!(response.problem(), (413, "large-body".into(), "not-run".into()));
     assert_eq!(response.header("connection"), Some("close"));
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
 fn endless_body_is_stopped_at_the_limit() {
-    let bench = Bench::new();
-    let mut stream = bench.connect();
+    let server = TestServer::new();
+    let mut stream = server.connect();
     stream.write_all(&request(KEY, CHECK, &[("Transfer-Encoding", "chunked")], b"")).unwrap();
     let chunk = [&b"1000\r\n"[..], &[b'x'; 4096], b"\r\n"].concat();
-    // The entry reads a bounded rest and closes; then the caller can't send any more.
+    // The entry discards a bounded number of bytes and closes; then writes fail.
     while stream.write_all(&chunk).is_ok() {}
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
-fn large_chunked_body_is_told() {
-    let bench = Bench::new();
+fn large_chunked_body_is_rejected() {
+    let server = TestServer::new();
     let head = request(KEY, CHECK, &[("Transfer-Encoding", "chunked")], b"");
     let chunk = [&b"1000\r\n"[..], &[b'x'; 4096], b"\r\n"].concat();
-    let response = bench.raw(&[head, chunk].concat(), false);
+    let response = server.raw(&[head, chunk].concat(), false);
     assert_eq!(response.problem(), (413, "large-body".into(), "not-run".into()));
 }
 
 #[test]
 fn bodies_share_a_bounded_memory() {
-    let bench = Bench::with(Options { body_memory: Memory(8), ..Options::default() });
-    assert_eq!(bench.send(CHECK, &[], b"12345678").status, 200);
-    let response = bench.send(CHECK, &[], b"123456789");
+    let server = TestServer::with(Options { body_memory: Memory(8), ..Options::default() });
+    assert_eq!(server.send(CHECK, &[], b"12345678").status, 200);
+    let response = server.send(CHECK, &[], b"123456789");
     assert_eq!(response.problem(), (503, "no-memory".into(), "not-run".into()));
-    assert_eq!(bench.send(CHECK, &[], b"12345678").status, 200);
+    assert_eq!(server.send(CHECK, &[], b"12345678").status, 200);
 }
 
-fn hasty() -> Bench {
-    Bench::with(Options { receive_limit: Span::from_millis(250), ..Options::default() })
+fn with_short_receive_limit() -> TestServer {
+    TestServer::with(Options { receive_limit: Span::from_millis(250), ..Options::default() })
 }
 
 #[test]
 fn slow_body() {
-    let bench = hasty();
-    let response = bench.raw(&request(KEY, CHECK, &[("Content-Length", "9")], b""), false);
+    let server = with_short_receive_limit();
+    let response = server.raw(&request(KEY, CHECK, &[("Content-Length", "9")], b""), false);
     assert_eq!(response.problem(), (408, "slow-body".into(), "not-run".into()));
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
 fn slow_head() {
-    let bench = hasty();
-    let response = bench.raw(b"POST /v1/requests/check HTTP/1.1\r\nHost:", false);
+    let server = with_short_receive_limit();
+    let response = server.raw(b"POST /v1/requests/check HTTP/1.1\r\nHost:", false);
     assert_eq!(response.problem(), (408, "slow-head".into(), "may-have-run".into()));
 }
 
 #[test]
 fn slow_head_after_another_request() {
-    let bench = hasty();
-    let mut stream = bench.connect();
+    let server = with_short_receive_limit();
+    let mut stream = server.connect();
     stream.write_all(&request(KEY, CHECK, &[], b"x")).unwrap();
     assert_eq!(read(&mut stream).status, 200);
     stream.write_all(b"POST /v1/re").unwrap();
@@ -211,28 +211,28 @@
 
 #[test]
 fn silent_connection_is_closed() {
-    let bench = hasty();
-    let mut stream = bench.connect();
+    let server = with_short_receive_limit();
+    let mut stream = server.connect();
     assert_eq!(stream.read(&mut [0]).unwrap(), 0);
 }
 
 #[test]
 fn waiting_caller_is_not_slow() {
-    let bench = hasty();
-    bench.hold();
-    let mut stream = bench.connect();
+    let server = with_short_receive_limit();
+    server.hold();
+    let mut stream = server.connect();
     stream.write_all(&request(KEY, CHECK, &[], b"x")).unwrap();
-    bench.submission();
-    // Another caller runs into the limit after this one would have.
-    assert_eq!(bench.raw(b"G", false).problem().1, "slow-head");
-    assert!(bench.seen.try_recv().is_err(), "the first caller was given up");
+    server.submission();
+    // Another caller exceeds the limit later than this one would have.
+    assert_eq!(server.raw(b"G", false).problem().1, "slow-head");
+    assert!(server.seen.try_recv().is_err(), "the first caller was given up");
     drop(stream);
-    assert!(matches!(bench.seen.recv().unwrap(), Seen::Abandoned));
+    assert!(matches!(server.seen.recv().unwrap(), BackendEvent::Abandoned));
 }
 
 #[test]
 fn malformed_heads() {
-    let bench = Bench::new();
+    let server = TestServer::new();
     let heads: [&[u8]; 5] = [
         b"POST /v1/requests/check HTTP/1.1\r\nHo",
         b"\0\0\0\0\r\n\r\n",
@@ -241,19 +241,19 @@
         b"GET / HTTP/3.0\r\n\r\n",
     ];
     for head in heads {
-        let response = bench.raw(head, true);
+        let response = server.raw(head, true);
         assert_eq!(response.problem(), (400, "malformed-head".into(), "may-have-run".into()));
     }
-    assert_nothing_submitted(&bench);
+    assert_nothing_submitted(&server);
 }
 
 #[test]
 fn bytes_sent_ahead_are_bounded() {
-    let bench = Bench::new();
-    bench.hold();
-    let mut stream: TcpStream = bench.connect();
+    let server = TestServer::new();
+    server.hold();
+    let mut stream: TcpStream = server.connect();
     stream.write_all(&request(KEY, CHECK, &[], b"x")).unwrap();
-    bench.submission();
+    server.submission();
     while stream.write_all(&[b'x'; 4096]).is_ok() {}
-    assert!(matches!(bench.seen.recv().unwrap(), Seen::Abandoned));
+    assert!(matches!(server.seen.recv().unwrap(), BackendEvent::Abandoned));
 }
--- a/fuzz/src/target/requests/fake.rs
+++ b/fuzz/src/target/requests/fake.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use server::{
     Backend,
-    backend::{Fetched, Keyed, Overview, Readiness},
+    backend::{Fetched, KeyedAnswer, Overview, Readiness},
 };
 use sha2::{Digest, Sha256};
 use site::{
@@ -91,11 +91,11 @@
         echo(&submission)
     }
 
-    async fn submit_keyed(&self, _: CompactString, _: bool, made: Arc<Submission>) -> Keyed {
-        Keyed { id: made.id, answer: echo(&made) }
+    async fn submit_keyed(&self, _: CompactString, _: bool, made: Arc<Submission>) -> KeyedAnswer {
+        KeyedAnswer { id: made.id, answer: echo(&made) }
     }
 
-    fn begin(&self, _: Arc<Submission>) {}
+    fn submit_detached(&self, _: Arc<Submission>) {}
 
     async fn fetch(&self, id: SubmissionId, _: FirmId, _: Span) -> Fetched {
         match id.token.epoch % 2 {
@@ -112,7 +112,7 @@
         failed(if id.token.epoch.is_multiple_of(2) { Reason::Cancelled } else { Reason::Unknown })
     }
 
-    fn ready(&self) -> Readiness {
+    fn readiness(&self) -> Readiness {
         Readiness::Ready
     }
 
