--- a/components/client/src/error.rs
+++ b/components/client/src/error.rs
@@ -1,67 +1,67 @@
-//! What can go wrong for a caller.
+//! Errors of the client.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use site::{id::SubmissionId, submission::Outcome, unit::Span};
 
-/// A problem as entries tell it (RFC 9457).
+/// Problem details (RFC 9457) that an entry returned.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Error, PartialEq, Serialize)]
 #[display("{detail} ({reason}, status {status})")]
 pub struct Problem {
-    /// The HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// The word that tells the kind of problem.
+    /// Machine-readable code of the kind of problem.
     pub reason: CompactString,
-    /// What is known about the submission.
+    /// Whether the submission ran, as far as known.
     pub outcome: Outcome,
-    /// This occurrence in words.
+    /// Human-readable explanation of this occurrence.
     pub detail: String,
-    /// The submission, where there is one.
+    /// Identifier of the submission; absent if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<CompactString>,
-    /// When to try again, in milliseconds; absent when that would not help.
+    /// Time until a retry is useful, in milliseconds; absent if a retry would not help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// When to try again; `None` when that would not help.
+    /// Returns the time until a retry is useful; `None` if a retry would not help.
     pub fn retry_after(&self) -> Option<Span> {
         self.retry_after_ms.map(Span::from_millis)
     }
 }
 
-/// Why a call has no answer.
+/// Error of a client call.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum Error {
-    /// The client was given no entries.
+    /// The client was created without entries.
     #[display("no entry is named: give at least one address")]
     NoEntries,
-    /// An entry told a problem that trying again does not help.
+    /// An entry returned a problem that a retry does not solve.
     #[display("{_0}")]
     Problem(Problem),
     /// The deadline passed without a final answer.
     #[display("no final answer before the deadline")]
     Deadline {
-        /// The submission; absent when none was ever named.
+        /// Identifier of the submission; `None` if none was created.
         id: Option<SubmissionId>,
-        /// What is known about it.
+        /// Whether the submission ran, as far as known.
         outcome: Outcome,
     },
-    /// No entry answers.
+    /// No entry responds.
     #[display("no entry answers: check the addresses and that the entries run")]
     Unreachable,
-    /// An answer is not what an entry answers.
+    /// A response does not have the format of an entry's.
     #[display("an answer with status {status} is not understood: is this address an entry's?")]
     Malformed {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
 }
 
 impl Error {
-    /// What is known about the submission; `None` where the error is not about one.
+    /// Returns whether the submission ran, as far as known; `None` if the error does not tell.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             Error::Problem(problem) => Some(problem.outcome),
--- a/components/client/src/exchange.rs
+++ b/components/client/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with one entry.
+//! A single HTTP exchange with one entry.
 
 use crate::Problem;
 use compact_str::CompactString;
@@ -15,101 +15,106 @@
 const HOME: &str = "primrosestep-home";
 const OUTCOME: &str = "primrosestep-outcome";
 
-/// Largest answer that is read.
-const MAX_BODY: u64 = 256 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_BODY_BYTES: u64 = 256 << 20;
 
 /// A request to an entry.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers besides the key.
+    /// Headers except the `Authorization` header.
     pub headers: Vec<(&'static str, String)>,
-    /// The body; empty for none.
+    /// Request body; empty for none.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// A request without headers and body.
+    /// Creates a request without headers and body.
     pub fn new(method: Method, path: impl Into<String>) -> Call {
         Call { method, path: path.into(), headers: Vec::new(), body: Vec::new() }
     }
 }
 
-/// What became of a call.
+/// Result of a call.
 #[derive(Clone, Debug)]
-pub enum Sent {
-    /// Nothing was sent: the entry takes no connections.
+pub enum CallResult {
+    /// Nothing was sent, since the entry refused the connection.
     NotSent,
-    /// It may have been sent, and no whole answer came in time.
+    /// The request may have been sent, but no complete response arrived in time.
     Lost,
-    /// A whole answer.
+    /// A complete response.
     Answer(Answer),
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// What the answer says about the submission, if it is an entry's and about one.
-    pub mark: Mark,
-    /// The entry's current home token.
+    /// State of the submission according to the response.
+    pub state: SubmissionState,
+    /// Current home token of the entry; `None` if the response has none.
     pub token: Option<Token>,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// The body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// What an answer says about a submission.
+/// State of a submission according to a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Mark {
-    /// Nothing: it is not about one, or comes from something between the caller and the entry.
+pub enum SubmissionState {
+    /// The response is not about a submission, or was sent by an intermediary such as a proxy.
     None,
-    /// It is complete.
+    /// The submission is complete.
     Complete,
-    /// It has no answer yet.
+    /// The submission has no answer yet.
     Pending,
-    /// It has failed, or the request was turned away.
+    /// The submission has failed, or the request was rejected.
     Problem(Problem),
 }
 
 /// Connections to entries.
 #[derive(Debug)]
-pub(crate) struct Wire {
+pub(crate) struct Connections {
     key: CompactString,
-    /// Keeps connections for further calls.
-    kept: Client,
-    /// Makes a connection for each call: what happened to a kept one may happen to the others.
+    /// Reuses connections.
+    reused: Client,
+    /// Opens a connection for each call. Used after a failure, since a fault of one reused
+    /// connection may affect the others.
     fresh: Client,
 }
 
-impl Wire {
-    pub(crate) fn new(key: CompactString) -> Wire {
+impl Connections {
+    pub(crate) fn new(key: CompactString) -> Connections {
         let config = ClientConfig::new().with_nodelay(true);
-        Wire { key, kept: Client::new(config).with_default_pool(), fresh: Client::new(config) }
+        Connections {
+            key,
+            reused: Client::new(config).with_default_pool(),
+            fresh: Client::new(config),
+        }
     }
 
-    /// Makes a call, over a new connection if `fresh`, and waits at most `limit` for the answer.
+    /// Makes a call, over a new connection if `fresh`, and waits up to `limit` for the response.
     pub(crate) async fn call(
         &self,
         entry: SocketAddr,
         call: Call,
         fresh: bool,
         limit: Duration,
-    ) -> Sent {
-        let client = if fresh { &self.fresh } else { &self.kept };
+    ) -> CallResult {
+        let client = if fresh { &self.fresh } else { &self.reused };
         let expired = async {
             Timer::after(limit).await;
-            Sent::Lost
+            CallResult::Lost
         };
         future::or(self.exchange(client, entry, call), expired).await
     }
 
-    async fn exchange(&self, client: &Client, entry: SocketAddr, call: Call) -> Sent {
+    async fn exchange(&self, client: &Client, entry: SocketAddr, call: Call) -> CallResult {
         let mut conn = client
             .build_conn(call.method, format!("http://{entry}{}", call.path))
             .with_request_header(KnownHeaderName::Authorization, format!("Bearer {}", self.key))
@@ -120,15 +125,15 @@
         if let Err(error) = (&mut conn).await {
             return unanswered(&error);
         }
-        let body = conn.response_body().with_max_len(MAX_BODY).read_bytes().await;
-        body.map_or(Sent::Lost, |body| answer(&conn, body))
+        let body = conn.response_body().with_max_len(MAX_BODY_BYTES).read_bytes().await;
+        body.map_or(CallResult::Lost, |body| answer(&conn, body))
     }
 }
 
-fn unanswered(error: &trillium_client::Error) -> Sent {
+fn unanswered(error: &trillium_client::Error) -> CallResult {
     match error {
-        trillium_client::Error::Io(error) if not_sent(error) => Sent::NotSent,
-        _ => Sent::Lost,
+        trillium_client::Error::Io(error) if not_sent(error) => CallResult::NotSent,
+        _ => CallResult::Lost,
     }
 }
 
@@ -137,20 +142,22 @@
     error.kind() == ErrorKind::ConnectionRefused
 }
 
-fn answer(conn: &Conn, body: Vec<u8>) -> Sent {
+fn answer(conn: &Conn, body: Vec<u8>) -> CallResult {
     let headers = conn.response_headers();
     let Some(status) = conn.status() else {
-        return Sent::Lost;
+        return CallResult::Lost;
     };
-    let mark = match headers.get_str(OUTCOME) {
-        None => Mark::None,
-        Some("complete") => Mark::Complete,
-        Some("pending") => Mark::Pending,
-        Some(_) => serde_json::from_slice(&body).map_or(Mark::None, Mark::Problem),
+    let state = match headers.get_str(OUTCOME) {
+        None => SubmissionState::None,
+        Some("complete") => SubmissionState::Complete,
+        Some("pending") => SubmissionState::Pending,
+        Some(_) => {
+            serde_json::from_slice(&body).map_or(SubmissionState::None, SubmissionState::Problem)
+        }
     };
-    Sent::Answer(Answer {
+    CallResult::Answer(Answer {
         status: status as u16,
-        mark,
+        state,
         token: headers.get_str(HOME).and_then(|text| text.parse().ok()),
         content_type: headers.get_str(KnownHeaderName::ContentType).unwrap_or_default().into(),
         body,
--- a/components/client/src/job.rs
+++ b/components/client/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as entries take and answer them.
+//! JSON format of jobs and their answers.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -9,25 +9,26 @@
     unit::{Resources, Span},
 };
 
-/// A job.
+/// A job to submit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
-    /// The service, by name.
+    /// Name of the service.
     pub service: CompactString,
-    /// The crew, by name.
+    /// Name of the crew; `None` for the firm's default crew.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub crew: Option<CompactString>,
-    /// Names a submission that may have been made before. The client makes one if absent.
+    /// Identifier of a submission that may have been sent before. If absent, the client creates
+    /// one.
     #[serde(default, skip_serializing, deserialize_with = "id")]
     pub id: Option<SubmissionId>,
-    /// Whether a task may run again, where the service allows it.
+    /// Whether a task may run again, if the service allows it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
-    /// Time left until the answer is of no use.
+    /// Time until the answer is no longer needed; `None` for the client's default.
     #[serde(default, skip_serializing)]
     pub deadline: Option<Span>,
-    /// At least one and at most [`site::submission::MAX_TASKS`].
+    /// Tasks; at least one and at most [`site::submission::MAX_TASKS`].
     pub tasks: Vec<Task>,
 }
 
@@ -35,18 +36,18 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Task {
-    /// A text, sent as it is; or any other JSON, sent as JSON.
+    /// Body for the endpoint: the content of a JSON string, or any other JSON value as it is.
     pub body: Box<RawValue>,
-    /// Media type of the body.
+    /// Media type of the body; `None` for the default of its form.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content_type: Option<CompactString>,
-    /// How the text of the body is coded: `base64`.
+    /// Encoding of a body that is a string: `base64`, or `None` for plain text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub encoding: Option<CompactString>,
-    /// What the task is believed to need.
+    /// Estimate of the resources that the task needs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub needs: Option<Resources>,
-    /// How long the task is believed to run.
+    /// Estimate of the run time of the task.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub run_time: Option<Span>,
 }
@@ -54,50 +55,50 @@
 /// The complete answer to a job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Complete {
-    /// The submission.
+    /// Identifier of the submission.
     pub id: CompactString,
-    /// In the order of the tasks.
+    /// Outputs in the order of the tasks.
     pub outputs: Vec<Output>,
 }
 
-/// An endpoint's answer to one task.
+/// An endpoint's response to one task.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Output {
-    /// HTTP status of the endpoint's answer.
+    /// HTTP status of the endpoint's response.
     pub status: u16,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// JSON, or a text coded as `encoding` says.
+    /// A JSON value, or a string with the given `encoding`.
     pub body: Value,
-    /// `base64` for a body that is not JSON.
+    /// `base64` for a body that is not JSON, otherwise `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub encoding: Option<CompactString>,
 }
 
-/// What a fetch came to.
+/// Result of a fetch.
 #[derive(Clone, Debug)]
 pub enum Fetched {
     /// The complete answer.
     Complete(Complete),
-    /// There is none yet.
+    /// There is no answer yet.
     Pending,
 }
 
-/// What a cancellation came to.
+/// Result of a cancellation.
 #[derive(Clone, Debug)]
 pub enum Cancelled {
-    /// The job was ended.
+    /// The job was cancelled, with this outcome.
     Ended(Outcome),
-    /// It came too late; this is the answer.
+    /// The job was complete before; this is its answer.
     Complete(Complete),
 }
 
-/// How far a job has come.
+/// Progress of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Tasks in it.
+    /// Number of tasks in the job.
     pub tasks: u16,
-    /// Tasks that have answered.
+    /// Number of tasks with a result.
     pub done: u16,
     /// Whether the final answer is ready.
     pub finished: bool,
--- a/components/client/src/lib.rs
+++ b/components/client/src/lib.rs
@@ -1,8 +1,8 @@
-//! A caller of the dispatcher.
+//! Client library of the dispatcher's HTTP API.
 //!
-//! [`Client`] submits requests and jobs through any of several entries. It makes identifiers with
-//! home tokens, resubmits under the same identifier when an answer is lost, and takes a new one
-//! only after the old one is known not to have run.
+//! [`Client`] submits requests and jobs through any of several entries. It creates identifiers from
+//! home tokens, resubmits under the same identifier if a response is lost, and uses a new one
+//! only after the submission under the old one is known not to have run.
 
 pub mod client;
 pub mod error;
--- a/components/client/src/request.rs
+++ b/components/client/src/request.rs
@@ -1,29 +1,30 @@
-//! Single requests.
+//! Single requests and their responses.
 
 use compact_str::CompactString;
 use site::{id::SubmissionId, unit::Span};
 
-/// A single request. Its body and answer pass through whole.
+/// A single request. Its body and the response are passed through unchanged.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Request {
-    /// The service, by name.
+    /// Name of the service.
     pub service: CompactString,
-    /// The crew, by name.
+    /// Name of the crew; `None` for the firm's default crew.
     pub crew: Option<CompactString>,
-    /// Names a submission that may have been made before. The client makes one if absent.
+    /// Identifier of a submission that may have been sent before. If absent, the client creates
+    /// one.
     pub id: Option<SubmissionId>,
-    /// Whether it may run again, where the service allows it.
+    /// Whether the request may run again, if the service allows it.
     pub repeatable: bool,
-    /// Time left until the answer is of no use.
+    /// Time until the answer is no longer needed; `None` for the client's default.
     pub deadline: Option<Span>,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// A request to `service` that says nothing but `body`.
+    /// Creates a request to `service` with `body` and defaults for the rest.
     pub fn new(service: impl Into<CompactString>, body: impl Into<Vec<u8>>) -> Request {
         Request {
             service: service.into(),
@@ -37,15 +38,15 @@
     }
 }
 
-/// The answer to a single request.
+/// The response to a single request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Response {
-    /// The submission.
+    /// Identifier of the submission.
     pub id: SubmissionId,
-    /// HTTP status of the endpoint's answer.
+    /// HTTP status of the endpoint's response.
     pub status: u16,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// The body, whole.
+    /// Body of the endpoint's response.
     pub body: Vec<u8>,
 }
--- a/components/client/src/retry.rs
+++ b/components/client/src/retry.rs
@@ -1,68 +1,72 @@
-//! What follows an exchange: the answer, the same submission again, or a new one.
+//! Retry policy: decides from the result of an exchange whether and under which identifier to
+//! resubmit.
 
 use crate::{
     Problem,
-    exchange::{Answer, Mark, Sent},
+    exchange::{Answer, CallResult, SubmissionState},
 };
 use site::{submission::Outcome, unit::Span};
 
-/// What follows an exchange.
+/// Next action after an exchange.
 #[derive(Clone, Debug)]
-pub enum Step {
-    /// The call is over.
+pub enum RetryAction {
+    /// Return this answer.
     Done(Answer),
-    /// The call is over without an answer.
+    /// Return this problem.
     Fail(Problem),
-    /// Submit under the same identifier through another entry.
-    Again {
-        /// Wait before, as the entry says; `None` to go on to entries that were not asked yet.
+    /// Resubmit under the same identifier through another entry.
+    RetrySameId {
+        /// Time to wait first, as given by the entry; `None` to continue with the entries that were
+        /// not tried yet.
         pause: Option<Span>,
-        /// Whether the identifier was certainly never received.
+        /// Whether it is certain that no entry received the identifier in this exchange.
         unsent: bool,
     },
-    /// Submit under a new identifier; nothing ran under the old one and nothing will.
-    Anew {
-        /// Wait before, as the entry says.
+    /// Resubmit under a new identifier; nothing has run or will run under the old one.
+    RetryNewId {
+        /// Time to wait first, as given by the entry.
         pause: Option<Span>,
-        /// Why; final where the caller chose the identifier.
+        /// The reported problem, which is final if the caller chose the identifier.
         problem: Problem,
     },
 }
 
-/// What follows `sent`.
-pub fn step(sent: Sent) -> Step {
-    match sent {
-        Sent::NotSent => Step::Again { pause: None, unsent: true },
-        Sent::Lost => Step::Again { pause: None, unsent: false },
-        Sent::Answer(answer) => match answer.mark {
-            Mark::Complete | Mark::Pending => Step::Done(answer),
-            // Not an entry's answer; nothing is known of what it did with the call.
-            Mark::None => Step::Again { pause: None, unsent: false },
-            Mark::Problem(problem) => after(problem),
+/// Returns the next action after a call with the result `sent`.
+pub fn next_action(result: CallResult) -> RetryAction {
+    match result {
+        CallResult::NotSent => RetryAction::RetrySameId { pause: None, unsent: true },
+        CallResult::Lost => RetryAction::RetrySameId { pause: None, unsent: false },
+        CallResult::Answer(answer) => match answer.state {
+            SubmissionState::Complete | SubmissionState::Pending => RetryAction::Done(answer),
+            // Not an entry's response, so the state of the submission is unknown.
+            SubmissionState::None => RetryAction::RetrySameId { pause: None, unsent: false },
+            SubmissionState::Problem(problem) => after(problem),
         },
     }
 }
 
-fn after(problem: Problem) -> Step {
-    if is_transfer(&problem.reason) {
-        return Step::Again { pause: None, unsent: false };
+fn after(problem: Problem) -> RetryAction {
+    if is_transfer_error(&problem.reason) {
+        return RetryAction::RetrySameId { pause: None, unsent: false };
     }
     match (problem.outcome, problem.retry_after()) {
-        (Outcome::NotRun, _) if needs_home(&problem.reason) => Step::Anew { pause: None, problem },
-        (Outcome::NotRun, pause @ Some(_)) => Step::Anew { pause, problem },
-        (Outcome::MayHaveRun, pause @ Some(_)) => Step::Again { pause, unsent: false },
+        (Outcome::NotRun, _) if needs_another_home(&problem.reason) => {
+            RetryAction::RetryNewId { pause: None, problem }
+        }
+        (Outcome::NotRun, pause @ Some(_)) => RetryAction::RetryNewId { pause, problem },
+        (Outcome::MayHaveRun, pause @ Some(_)) => RetryAction::RetrySameId { pause, unsent: false },
         (Outcome::NotRun | Outcome::MayHaveRun, None) | (Outcome::RanAndFailed, _) => {
-            Step::Fail(problem)
+            RetryAction::Fail(problem)
         }
     }
 }
 
-/// The request was damaged on its way; another connection may do better.
-fn is_transfer(reason: &str) -> bool {
+/// Returns whether the request was damaged in transfer, so that another connection may succeed.
+fn is_transfer_error(reason: &str) -> bool {
     matches!(reason, "truncated-body" | "slow-body" | "slow-head" | "malformed-head" | "abandoned")
 }
 
-/// Another home may take what this one did not.
-fn needs_home(reason: &str) -> bool {
+/// Returns whether another home may accept what this one did not.
+fn needs_another_home(reason: &str) -> bool {
     matches!(reason, "draining" | "home-gone" | "home-unreachable")
 }
--- a/components/client/src/submit.rs
+++ b/components/client/src/submit.rs
@@ -1,64 +1,64 @@
-//! Submitting until there is a final answer or the deadline has passed.
+//! Submits with retries until there is a final answer or the deadline has passed.
 
 use crate::{
     Client, Error,
-    exchange::{Answer, Call, Sent},
-    retry::{Step, step},
+    exchange::{Answer, Call, CallResult},
+    retry::{RetryAction, next_action},
 };
 use site::{id::SubmissionId, submission::Outcome, unit::Span};
 use smol::Timer;
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Deadline of a submission that names none.
-pub(crate) const DEADLINE: Span = Span::from_secs(30);
+/// Deadline of a submission without its own.
+pub(crate) const DEFAULT_DEADLINE: Span = Span::from_secs(30);
 
-/// Waited beyond the deadline for the entry's own final answer.
-const GRACE: Duration = Duration::from_millis(500);
+/// Time after the deadline during which the entry's own final answer is still awaited.
+const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(500);
 
-/// Least time that an entry is given to answer before another is asked.
-const MIN_PATIENCE: Duration = Duration::from_millis(500);
+/// Minimum time that an entry has to respond before another one is tried.
+const MIN_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause after all entries were asked in vain.
-const PAUSE: Span = Span::from_millis(50);
+/// Pause after all entries were tried without success.
+const ROUND_PAUSE: Span = Span::from_millis(50);
 
-/// A submission under way.
+/// A submission in progress.
 #[derive(Debug)]
-pub(crate) struct Attempt {
-    /// Without the headers that change from one exchange to the next.
+pub(crate) struct OpenSubmission {
+    /// The call without the headers that differ between exchanges.
     call: Call,
     end: Instant,
-    /// `None` until there is one.
+    /// Identifier; `None` until one is created.
     id: Option<SubmissionId>,
-    /// Whether the caller chose the identifier: then it is never replaced.
-    fixed: bool,
-    /// Whether no entry may have received the identifier.
+    /// Whether the caller chose the identifier. Such an identifier is never replaced.
+    is_callers_id: bool,
+    /// Whether it is certain that no entry has received the identifier.
     first: bool,
-    /// Index of the entry to ask next.
+    /// Index of the entry to try next.
     entry: usize,
-    /// Exchanges made.
-    made: usize,
+    /// Number of exchanges so far.
+    exchanges: usize,
 }
 
-impl Attempt {
+impl OpenSubmission {
     pub(crate) fn new(
         call: Call,
         id: Option<SubmissionId>,
         deadline: Span,
         entry: usize,
-    ) -> Attempt {
-        Attempt {
+    ) -> OpenSubmission {
+        OpenSubmission {
             call,
             end: Instant::now() + duration(deadline),
             id,
-            fixed: id.is_some(),
+            is_callers_id: id.is_some(),
             first: id.is_none(),
             entry,
-            made: 0,
+            exchanges: 0,
         }
     }
 
-    fn left(&self) -> Result<Duration, Error> {
+    fn time_left(&self) -> Result<Duration, Error> {
         let left = self.end.saturating_duration_since(Instant::now());
         if left >= Duration::from_millis(1) { Ok(left) } else { Err(self.expired()) }
     }
@@ -68,9 +68,9 @@
         Error::Deadline { id: self.id, outcome }
     }
 
-    /// How long this exchange may take before another entry is asked.
-    fn patience(&self, left: Duration) -> Duration {
-        (left / 2).max(MIN_PATIENCE).min(left + GRACE)
+    /// Returns how long an exchange may take before another entry is tried.
+    fn timeout(&self, left: Duration) -> Duration {
+        (left / 2).max(MIN_EXCHANGE_TIMEOUT).min(left + FINAL_ANSWER_GRACE)
     }
 
     fn call(&self, id: SubmissionId, left: Duration) -> Call {
@@ -84,69 +84,85 @@
     }
 
     async fn pause(&self, pause: Span) -> Result<(), Error> {
-        let left = self.left()?;
+        let left = self.time_left()?;
         Timer::after(duration(pause).min(left)).await;
-        self.left().map(drop)
+        self.time_left().map(drop)
     }
 }
 
 impl Client {
-    /// Submits until there is a final answer.
+    /// Submits with retries until there is a final answer.
     pub(crate) async fn submit(
         &self,
-        mut attempt: Attempt,
+        mut submission: OpenSubmission,
     ) -> Result<(SubmissionId, Answer), Error> {
         loop {
-            let left = attempt.left()?;
-            let Some(id) = self.name(&mut attempt, left).await else {
-                self.go_on(&mut attempt, None).await?;
+            let left = submission.time_left()?;
+            let Some(id) = self.identifier(&mut submission, left).await else {
+                self.advance(&mut submission, None).await?;
                 continue;
             };
-            match step(self.exchange(&attempt, id, left).await) {
-                Step::Done(answer) => return Ok((id, answer)),
-                Step::Fail(problem) => return Err(Error::Problem(problem)),
-                Step::Anew { problem, .. } if attempt.fixed => return Err(Error::Problem(problem)),
-                Step::Anew { pause, .. } => {
-                    self.forget(attempt.entry);
-                    attempt.id = None;
-                    attempt.first = true;
-                    self.go_on(&mut attempt, pause).await?;
+            match next_action(self.exchange(&submission, id, left).await) {
+                RetryAction::Done(answer) => return Ok((id, answer)),
+                RetryAction::Fail(problem) => return Err(Error::Problem(problem)),
+                RetryAction::RetryNewId { problem, .. } if submission.is_callers_id => {
+                    return Err(Error::Problem(problem));
                 }
-                Step::Again { pause, unsent } => {
-                    attempt.first &= unsent;
-                    self.go_on(&mut attempt, pause).await?;
+                RetryAction::RetryNewId { pause, .. } => {
+                    self.forget_token(submission.entry);
+                    submission.id = None;
+                    submission.first = true;
+                    self.advance(&mut submission, pause).await?;
+                }
+                RetryAction::RetrySameId { pause, unsent } => {
+                    submission.first &= unsent;
+                    self.advance(&mut submission, pause).await?;
                 }
             }
         }
     }
 
-    /// Turns to the next entry, after a pause where one is due.
-    async fn go_on(&self, attempt: &mut Attempt, pause: Option<Span>) -> Result<(), Error> {
-        attempt.made += 1;
-        attempt.entry = self.after(attempt.entry);
-        let round_over = attempt.made.is_multiple_of(self.count());
+    /// Selects the next entry, and pauses if required.
+    async fn advance(
+        &self,
+        submission: &mut OpenSubmission,
+        pause: Option<Span>,
+    ) -> Result<(), Error> {
+        submission.exchanges += 1;
+        submission.entry = self.next_entry(submission.entry);
+        let round_over = submission.exchanges.is_multiple_of(self.entry_count());
         match pause {
-            Some(pause) => attempt.pause(pause).await,
-            None if round_over => attempt.pause(PAUSE).await,
+            Some(pause) => submission.pause(pause).await,
+            None if round_over => submission.pause(ROUND_PAUSE).await,
             None => Ok(()),
         }
     }
 
-    async fn exchange(&self, attempt: &Attempt, id: SubmissionId, left: Duration) -> Sent {
-        let call = attempt.call(id, left);
-        let patience = attempt.patience(left);
-        let last = patience >= left;
-        let patience = if last { left + GRACE } else { patience };
-        self.call(attempt.entry, call, attempt.made > 0, patience).await
+    async fn exchange(
+        &self,
+        submission: &OpenSubmission,
+        id: SubmissionId,
+        left: Duration,
+    ) -> CallResult {
+        let call = submission.call(id, left);
+        let timeout = submission.timeout(left);
+        let last = timeout >= left;
+        let timeout = if last { left + FINAL_ANSWER_GRACE } else { timeout };
+        self.call(submission.entry, call, submission.exchanges > 0, timeout).await
     }
 
-    /// The submission's identifier, made with the token of the entry that is asked next.
-    async fn name(&self, attempt: &mut Attempt, left: Duration) -> Option<SubmissionId> {
-        if attempt.id.is_none() {
-            let token = self.token(attempt.entry, left).await?;
-            attempt.id = Some(SubmissionId { token, unique: Uuid::new_v4() });
+    /// Returns the submission's identifier, created with the token of the next entry if there is
+    /// none. Returns `None` if that entry has no token.
+    async fn identifier(
+        &self,
+        submission: &mut OpenSubmission,
+        left: Duration,
+    ) -> Option<SubmissionId> {
+        if submission.id.is_none() {
+            let token = self.token(submission.entry, left).await?;
+            submission.id = Some(SubmissionId { token, unique: Uuid::new_v4() });
         }
-        attempt.id
+        submission.id
     }
 }
 
--- a/components/client/tests/common/mod.rs
+++ b/components/client/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Entries that follow a script.
+//! Fake entries that respond according to a script.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::{
@@ -7,48 +7,53 @@
     sync::mpsc::{Receiver, Sender, channel},
 };
 
-/// What an entry does with a request.
+/// Scripted reaction to a request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Reaction {
     /// Answer with status, headers and body.
     Answer(u16, String, String),
     /// Close the connection without an answer.
     Close,
-    /// Keep the connection and say nothing.
+    /// Keep the connection open without a response.
     Hang,
 }
 
-impl Act {
-    pub fn complete(body: &str) -> Act {
-        Act::Answer(200, "Primrosestep-Outcome: complete\r\n".into(), body.into())
+impl Reaction {
+    pub fn complete(body: &str) -> Reaction {
+        Reaction::Answer(200, "Primrosestep-Outcome: complete\r\n".into(), body.into())
     }
 
-    pub fn pending() -> Act {
-        Act::Answer(202, "Primrosestep-Outcome: pending\r\n".into(), "{}".into())
+    pub fn pending() -> Reaction {
+        Reaction::Answer(202, "Primrosestep-Outcome: pending\r\n".into(), "{}".into())
     }
 
-    pub fn plain(status: u16, body: &str) -> Act {
-        Act::Answer(status, String::new(), body.into())
+    pub fn plain(status: u16, body: &str) -> Reaction {
+        Reaction::Answer(status, String::new(), body.into())
     }
 
-    pub fn problem(status: u16, reason: &str, outcome: &str, retry_after_ms: Option<u64>) -> Act {
+    pub fn problem(
+        status: u16,
+        reason: &str,
+        outcome: &str,
+        retry_after_ms: Option<u64>,
+    ) -> Reaction {
         let body = serde_json::json!({
             "type": "about:blank", "title": "", "detail": reason, "status": status,
             "reason": reason, "outcome": outcome, "retry_after_ms": retry_after_ms,
         });
-        Act::Answer(status, format!("Primrosestep-Outcome: {outcome}\r\n"), body.to_string())
+        Reaction::Answer(status, format!("Primrosestep-Outcome: {outcome}\r\n"), body.to_string())
     }
 }
 
-/// A request as an entry received it.
+/// A request that an entry received.
 #[derive(Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub line: String,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         let named = |(key, _): &&(String, String)| key.eq_ignore_ascii_case(name);
         self.headers.iter().find(named).map(|(_, value)| value.as_str())
@@ -63,34 +68,39 @@
     }
 }
 
-/// An entry with a script. Tokens are told unasked for by the script.
-pub struct Entry {
+/// A fake entry. Requests for a token are answered without using the script.
+pub struct FakeEntry {
     pub address: SocketAddr,
-    seen: Receiver<Seen>,
+    seen: Receiver<ReceivedRequest>,
 }
 
-impl Entry {
-    /// An entry whose home has this number.
-    pub fn start(home: u8, script: Vec<Act>) -> Entry {
+impl FakeEntry {
+    /// Starts an entry whose token has this home number.
+    pub fn start(home: u8, script: Vec<Reaction>) -> FakeEntry {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (sender, seen) = channel();
         std::thread::spawn(move || serve(&listener, home, script, &sender));
-        Entry { address, seen }
+        FakeEntry { address, seen }
     }
 
-    /// An address that nobody listens at.
+    /// Returns an address without a listener.
     pub fn absent() -> SocketAddr {
         TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
     }
 
-    /// The next request, besides those for a token.
-    pub fn seen(&self) -> Seen {
+    /// Returns the next request that is not for a token.
+    pub fn seen(&self) -> ReceivedRequest {
         self.seen.recv().unwrap()
     }
 }
 
-fn serve(listener: &TcpListener, home: u8, script: Vec<Act>, sender: &Sender<Seen>) {
+fn serve(
+    listener: &TcpListener,
+    home: u8,
+    script: Vec<Reaction>,
+    sender: &Sender<ReceivedRequest>,
+) {
     let mut script = script.into_iter();
     let mut hanging = Vec::new();
     for stream in listener.incoming() {
@@ -102,16 +112,16 @@
         }
         sender.send(seen).ok();
         match script.next().expect("the script is over") {
-            Act::Answer(status, headers, body) => {
+            Reaction::Answer(status, headers, body) => {
                 answer(&mut stream, home, status, &headers, &body);
             }
-            Act::Close => {}
-            Act::Hang => hanging.push(stream),
+            Reaction::Close => {}
+            Reaction::Hang => hanging.push(stream),
         }
     }
 }
 
-fn receive(stream: &mut TcpStream) -> Option<Seen> {
+fn receive(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut lines = Vec::new();
     loop {
@@ -125,7 +135,7 @@
     let line = lines.remove(0);
     let split = |line: String| line.split_once(": ").map(|(k, v)| (k.to_owned(), v.to_owned()));
     let headers = lines.into_iter().filter_map(split).collect();
-    let mut seen = Seen { line, headers, body: Vec::new() };
+    let mut seen = ReceivedRequest { line, headers, body: Vec::new() };
     if let Some(length) = seen.header("content-length").map(|text| text.parse().unwrap()) {
         stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").ok()?;
         seen.body = vec![0; length];
--- a/components/client/tests/jobs.rs
+++ b/components/client/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, and questions about them.
+//! Jobs and queries about them.
 
 mod common;
 
@@ -6,7 +6,7 @@
     Client, Error, Job,
     job::{Cancelled, Fetched, Status},
 };
-use common::{Act, Entry};
+use common::{FakeEntry, Reaction};
 use serde_json::json;
 use site::{id::SubmissionId, submission::Outcome, unit::Span};
 use smol::block_on;
@@ -27,15 +27,15 @@
     serde_json::from_str(&job.to_string()).unwrap()
 }
 
-fn with(script: Vec<Act>) -> (Entry, Client) {
-    let entry = Entry::start(1, script);
+fn with(script: Vec<Reaction>) -> (FakeEntry, Client) {
+    let entry = FakeEntry::start(1, script);
     let client = Client::new([entry.address], "key").unwrap();
     (entry, client)
 }
 
 #[test]
 fn job_is_sent_and_its_answer_read() {
-    let (entry, client) = with(vec![Act::complete(COMPLETE)]);
+    let (entry, client) = with(vec![Reaction::complete(COMPLETE)]);
     let complete = block_on(client.job(&job())).unwrap();
     assert_eq!(complete.outputs[0].body, json!({ "fits": true }));
     let seen = entry.seen();
@@ -46,9 +46,10 @@
 }
 
 #[test]
-fn begun_job_is_fetched_later() {
-    let (entry, client) = with(vec![Act::pending(), Act::pending(), Act::complete(COMPLETE)]);
-    let id = block_on(client.begin(&job())).unwrap();
+fn started_job_is_fetched_later() {
+    let (entry, client) =
+        with(vec![Reaction::pending(), Reaction::pending(), Reaction::complete(COMPLETE)]);
+    let id = block_on(client.start_job(&job())).unwrap();
     let seen = entry.seen();
     assert_eq!(seen.line, "POST /v1/jobs?wait=false HTTP/1.1");
     assert_eq!(seen.id(), id.to_string());
@@ -61,24 +62,25 @@
 
 #[test]
 fn status_is_read() {
-    let (_entry, client) = with(vec![Act::plain(200, r#"{"tasks":9,"done":4,"finished":false}"#)]);
+    let (_entry, client) =
+        with(vec![Reaction::plain(200, r#"{"tasks":9,"done":4,"finished":false}"#)]);
     let status = block_on(client.status(id())).unwrap();
     assert_eq!(status, Status { tasks: 9, done: 4, finished: false });
 }
 
 #[test]
-fn cancellation_tells_which_came_first() {
+fn cancellation_reports_an_earlier_answer() {
     let ended = r#"{"id":"x","outcome":"not-run","reason":"cancelled"}"#;
-    let (_entry, client) = with(vec![Act::plain(200, ended), Act::complete(COMPLETE)]);
+    let (_entry, client) = with(vec![Reaction::plain(200, ended), Reaction::complete(COMPLETE)]);
     let cancelled = block_on(client.cancel(id())).unwrap();
     assert!(matches!(cancelled, Cancelled::Ended(Outcome::NotRun)));
     assert!(matches!(block_on(client.cancel(id())).unwrap(), Cancelled::Complete(_)));
 }
 
 #[test]
-fn questions_go_to_the_next_entry() {
-    let absent = Entry::absent();
-    let entry = Entry::start(1, vec![Act::problem(404, "unknown", "may-have-run", None)]);
+fn queries_go_to_the_next_entry() {
+    let absent = FakeEntry::absent();
+    let entry = FakeEntry::start(1, vec![Reaction::problem(404, "unknown", "may-have-run", None)]);
     let client = Client::new([absent, entry.address], "key").unwrap();
     let Error::Problem(problem) = block_on(client.status(id())).unwrap_err() else { panic!() };
     assert_eq!(problem.reason, "unknown");
@@ -87,8 +89,8 @@
 }
 
 #[test]
-fn foreign_answer_is_malformed() {
-    let (_entry, client) = with(vec![Act::plain(200, "<html>"), Act::plain(404, "")]);
+fn response_of_another_server_is_malformed() {
+    let (_entry, client) = with(vec![Reaction::plain(200, "<html>"), Reaction::plain(404, "")]);
     assert_eq!(block_on(client.status(id())).unwrap_err(), Error::Malformed { status: 200 });
     assert_eq!(block_on(client.show("jobs")).unwrap_err(), Error::Malformed { status: 404 });
 }
--- a/components/client/tests/submissions.rs
+++ b/components/client/tests/submissions.rs
@@ -1,13 +1,13 @@
-//! Submissions: which identifier goes where.
+//! Submissions and retries: which identifier is sent to which entry.
 
 mod common;
 
 use client::{Client, Error, Request};
-use common::{Act, Entry};
+use common::{FakeEntry, Reaction};
 use site::{submission::Outcome, unit::Span};
 use smol::block_on;
 
-fn client(entries: &[&Entry]) -> Client {
+fn client(entries: &[&FakeEntry]) -> Client {
     Client::new(entries.iter().map(|entry| entry.address), "key").unwrap()
 }
 
@@ -17,7 +17,7 @@
 
 #[test]
 fn request_carries_an_id_of_the_entry() {
-    let entry = Entry::start(1, vec![Act::complete("cut")]);
+    let entry = FakeEntry::start(1, vec![Reaction::complete("cut")]);
     let request = Request {
         crew: Some("fitters".into()),
         repeatable: false,
@@ -39,9 +39,9 @@
 }
 
 #[test]
-fn lost_answer_is_asked_for_elsewhere_under_the_same_id() {
-    let a = Entry::start(1, vec![Act::Close]);
-    let b = Entry::start(2, vec![Act::complete("")]);
+fn lost_response_is_retried_elsewhere_under_the_same_id() {
+    let a = FakeEntry::start(1, vec![Reaction::Close]);
+    let b = FakeEntry::start(2, vec![Reaction::complete("")]);
     block_on(client(&[&a, &b]).request(&request())).unwrap();
     let (first, second) = (a.seen(), b.seen());
     assert_eq!(first.id(), second.id());
@@ -49,26 +49,26 @@
 }
 
 #[test]
-fn silent_connection_is_given_up() {
-    let a = Entry::start(1, vec![Act::Hang]);
-    let b = Entry::start(2, vec![Act::complete("")]);
+fn unresponsive_entry_is_abandoned() {
+    let a = FakeEntry::start(1, vec![Reaction::Hang]);
+    let b = FakeEntry::start(2, vec![Reaction::complete("")]);
     let request = Request { deadline: Some(Span::from_secs(2)), ..request() };
     block_on(client(&[&a, &b]).request(&request)).unwrap();
     assert_eq!(a.seen().id(), b.seen().id());
 }
 
 #[test]
-fn absent_entry_is_passed_over() {
-    let entry = Entry::start(1, vec![Act::complete("")]);
-    let client = Client::new([Entry::absent(), entry.address], "key").unwrap();
+fn unreachable_entry_is_skipped() {
+    let entry = FakeEntry::start(1, vec![Reaction::complete("")]);
+    let client = Client::new([FakeEntry::absent(), entry.address], "key").unwrap();
     block_on(client.request(&request())).unwrap();
     assert!(entry.seen().is_first());
 }
 
 #[test]
-fn stopping_home_is_left_for_another() {
-    let a = Entry::start(1, vec![Act::problem(503, "draining", "not-run", None)]);
-    let b = Entry::start(2, vec![Act::complete("")]);
+fn draining_home_is_replaced_by_another() {
+    let a = FakeEntry::start(1, vec![Reaction::problem(503, "draining", "not-run", None)]);
+    let b = FakeEntry::start(2, vec![Reaction::complete("")]);
     block_on(client(&[&a, &b]).request(&request())).unwrap();
     let (first, second) = (a.seen(), b.seen());
     assert_ne!(first.id(), second.id());
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn overload_is_waited_out_under_a_new_id() {
-    let busy = Act::problem(429, "overload", "not-run", Some(1));
-    let entry = Entry::start(1, vec![busy, Act::complete("")]);
+fn overload_is_retried_under_a_new_id() {
+    let busy = Reaction::problem(429, "overload", "not-run", Some(1));
+    let entry = FakeEntry::start(1, vec![busy, Reaction::complete("")]);
     block_on(client(&[&entry]).request(&request())).unwrap();
     let (first, second) = (entry.seen(), entry.seen());
     assert_ne!(first.id(), second.id());
@@ -87,8 +87,8 @@
 
 #[test]
 fn what_may_have_run_keeps_its_id() {
-    let away = Act::problem(503, "home-unreachable", "may-have-run", Some(1));
-    let entry = Entry::start(1, vec![away, Act::complete("")]);
+    let away = Reaction::problem(503, "home-unreachable", "may-have-run", Some(1));
+    let entry = FakeEntry::start(1, vec![away, Reaction::complete("")]);
     block_on(client(&[&entry]).request(&request())).unwrap();
     let (first, second) = (entry.seen(), entry.seen());
     assert_eq!(first.id(), second.id());
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn answer_of_something_in_between_keeps_the_id() {
-    let entry = Entry::start(1, vec![Act::plain(503, "balancer"), Act::complete("")]);
+fn response_of_an_intermediary_keeps_the_id() {
+    let entry = FakeEntry::start(1, vec![Reaction::plain(503, "balancer"), Reaction::complete("")]);
     block_on(client(&[&entry]).request(&request())).unwrap();
     let (first, second) = (entry.seen(), entry.seen());
     assert_eq!(first.id(), second.id());
@@ -105,8 +105,9 @@
 }
 
 #[test]
-fn final_problem_is_told() {
-    let entry = Entry::start(1, vec![Act::problem(410, "home-gone", "may-have-run", None)]);
+fn final_problem_is_returned() {
+    let entry =
+        FakeEntry::start(1, vec![Reaction::problem(410, "home-gone", "may-have-run", None)]);
     let error = block_on(client(&[&entry]).request(&request())).unwrap_err();
     let Error::Problem(problem) = &error else { panic!("{error}") };
     assert_eq!((problem.status, problem.reason.as_str()), (410, "home-gone"));
@@ -116,7 +117,7 @@
 #[test]
 fn given_id_is_never_replaced() {
     let id = "0-0-9-0.6f2c7b0e-5a4d-4f55-9a3c-3e2f6f0a1b2c".parse().unwrap();
-    let entry = Entry::start(1, vec![Act::problem(429, "overload", "not-run", Some(1))]);
+    let entry = FakeEntry::start(1, vec![Reaction::problem(429, "overload", "not-run", Some(1))]);
     let request = Request { id: Some(id), ..request() };
     let error = block_on(client(&[&entry]).request(&request)).unwrap_err();
     assert_eq!(error.outcome(), Some(Outcome::NotRun));
@@ -127,7 +128,7 @@
 
 #[test]
 fn deadline_without_an_answer_may_have_run() {
-    let entry = Entry::start(1, vec![Act::Hang]);
+    let entry = FakeEntry::start(1, vec![Reaction::Hang]);
     let request = Request { deadline: Some(Span::from_millis(50)), ..request() };
     let error = block_on(client(&[&entry]).request(&request)).unwrap_err();
     let Error::Deadline { id, outcome } = error else { panic!("{error}") };
@@ -137,7 +138,7 @@
 
 #[test]
 fn deadline_without_any_entry_did_not_run() {
-    let client = Client::new([Entry::absent()], "key").unwrap();
+    let client = Client::new([FakeEntry::absent()], "key").unwrap();
     let request = Request { deadline: Some(Span::from_millis(50)), ..request() };
     let error = block_on(client.request(&request)).unwrap_err();
     assert_eq!(error, Error::Deadline { id: None, outcome: Outcome::NotRun });
