--- a/components/console/src/lib.rs
+++ b/components/console/src/lib.rs
@@ -1,7 +1,7 @@
-//! The one place that prints: results and errors, for people or for scripts.
+//! Prints results and errors of the command line, as text for people or as JSON for scripts.
 //!
 //! Results go to standard output, progress and errors to standard error. Scripts get one JSON
-//! document for each result or error.
+//! document for each result or error. All output of the commands goes through this crate.
 
 mod progress;
 mod table;
@@ -16,23 +16,23 @@
     io::{self, IsTerminal, Write},
 };
 
-/// Whom the output is for.
+/// Kind of reader of the output, which determines its format.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Audience {
-    /// A person.
+    /// A person who reads text.
     #[default]
     Person,
     /// A program that reads JSON.
     Script,
 }
 
-/// Prints for one audience.
+/// Printer for one audience.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Console {
     audience: Audience,
 }
 
-/// An error as scripts get it.
+/// An error in the JSON format for scripts.
 #[derive(Serialize)]
 struct Failure<'a> {
     error: &'a str,
@@ -42,12 +42,12 @@
 }
 
 impl Console {
-    /// A console for `audience`.
+    /// Creates a console for `audience`.
     pub fn new(audience: Audience) -> Console {
         Console { audience }
     }
 
-    /// Whom the output is for.
+    /// Returns the audience.
     pub fn audience(&self) -> Audience {
         self.audience
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Prints a result that is JSON for both audiences.
+    /// Prints a result as JSON for both audiences.
     pub fn print_json<T: Serialize>(&self, result: &T) {
         let text = match self.audience {
             Audience::Person => serde_json::to_string_pretty(result),
@@ -69,14 +69,14 @@
         print_line(&text.unwrap_or_default());
     }
 
-    /// Prints bytes as they are.
+    /// Prints bytes unchanged.
     pub fn print_bytes(&self, bytes: &[u8]) {
         let mut output = io::stdout().lock();
-        // A closed pipe is the reader's choice.
+        // Ignored, since the reader may have closed the pipe.
         let _ = output.write_all(bytes).and_then(|()| output.flush());
     }
 
-    /// Prints an error and the exit code that follows. Scripts get `detail` as well.
+    /// Prints an error. Scripts also get the exit code `code` and `detail`.
     pub fn fail(&self, error: &dyn Display, code: u8, detail: Option<Value>) {
         let text = error.to_string();
         let line = match self.audience {
@@ -86,18 +86,18 @@
                 serde_json::to_string(&failure).unwrap_or_default()
             }
         };
-        // Nothing is left to tell a failure to.
+        // Ignored, since there is no other output to report the failure to.
         let _ = writeln!(io::stderr(), "{line}");
     }
 
-    /// Tells a person something beside the result.
+    /// Prints a note to standard error; not shown to scripts.
     pub fn note(&self, text: &dyn Display) {
         if self.audience == Audience::Person {
             let _ = writeln!(io::stderr(), "{text}");
         }
     }
 
-    /// A progress line; shown to a person at a terminal only.
+    /// Creates a progress line, shown only to a person at a terminal.
     pub fn progress(&self, total: u64) -> Progress {
         let shown = self.audience == Audience::Person && io::stderr().is_terminal();
         Progress::new(total, shown)
@@ -106,6 +106,6 @@
 
 fn print_line(text: &str) {
     let mut output = io::stdout().lock();
-    // A closed pipe is the reader's choice.
+    // Ignored, since the reader may have closed the pipe.
     let _ = writeln!(output, "{}", text.trim_end());
 }
--- a/components/console/src/progress.rs
+++ b/components/console/src/progress.rs
@@ -1,11 +1,11 @@
-//! Progress on a terminal.
+//! Progress bar on a terminal.
 
 use std::io::{self, Write};
 
-/// Cells of the bar.
+/// Width of the bar in characters.
 const WIDTH: u64 = 40;
 
-/// A line that is written over as work goes on.
+/// A progress line that is overwritten by each update.
 #[derive(Debug)]
 pub struct Progress {
     total: u64,
@@ -18,7 +18,7 @@
         Progress { total, shown, last: None }
     }
 
-    /// Shows that `done` of the total is done.
+    /// Shows the progress as `done` of the total.
     pub fn update(&mut self, done: u64) {
         if !self.shown || self.last == Some(done) {
             return;
@@ -36,7 +36,7 @@
     }
 }
 
-/// The line for `done` of `total`.
+/// Renders the line for `done` of `total`.
 pub(crate) fn bar(done: u64, total: u64) -> String {
     let done = done.min(total);
     let filled = (done * WIDTH).checked_div(total).unwrap_or(WIDTH);
--- a/components/console/src/table.rs
+++ b/components/console/src/table.rs
@@ -1,24 +1,24 @@
-//! Tables for people.
+//! Text tables.
 
 use std::fmt;
 
-/// Space between columns.
+/// Separator of columns.
 const GAP: &str = "  ";
 
-/// Rows of texts under a head, printed in aligned columns.
+/// Table with a header, printed in aligned columns.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The head first; each as long as the head.
+    /// Header and rows, all with the same number of cells.
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with a head and no rows.
+    /// Creates a table with a header and no rows.
     pub fn new(head: &[&str]) -> Table {
         Table { rows: vec![head.iter().map(|text| text.to_string()).collect()] }
     }
 
-    /// Adds a row; cells beyond the head are dropped, missing ones are empty.
+    /// Adds a row. Cells beyond the header are dropped, missing ones are empty.
     pub fn push(&mut self, cells: impl IntoIterator<Item = String>) {
         let columns = self.rows[0].len();
         let cells = cells.into_iter().chain(std::iter::repeat(String::new()));
--- a/components/console/tests/table.rs
+++ b/components/console/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables line up.
+//! Alignment of tables.
 
 use console::Table;
 
--- a/components/demo/src/deployment.rs
+++ b/components/demo/src/deployment.rs
@@ -1,6 +1,6 @@
-//! Two data centres in this process.
+//! Deployment of two data centres in this process.
 
-use crate::settings::{KEY, OPERATOR, Placed, SLOTS, ZONES, files};
+use crate::settings::{DATA_CENTRES, KEY, OPERATOR, PlacedExecutor, SLOTS_PER_EXECUTOR, files};
 use client::Client;
 use derive_more::{Display, Error as StdError, From};
 use entry::{Process, Setup, StartError};
@@ -21,102 +21,102 @@
 use telemetry::Log;
 use uuid::Uuid;
 
-/// Entries in each data centre.
-const ENTRIES: usize = 2;
+/// Number of entries in each data centre.
+const ENTRIES_PER_DATA_CENTRE: usize = 2;
 
-/// Time between two looks at a state.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How large the world is.
+/// Size of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Executors in each data centre, with 8 slots each.
+    /// Number of executors in each data centre, with 8 slots each.
     pub executors: usize,
 }
 
-/// Why the world can't be built or used.
+/// Error of starting or using the deployment.
 #[derive(Debug, Display, StdError, From)]
 pub enum Error {
     /// A stand-in can't be started.
     #[display("cannot start a stand-in: {_0}")]
     Standin(io::Error),
-    /// A certificate can't be made.
+    /// A certificate can't be created.
     #[display("{_0}")]
     Tls(link::tls::Error),
     /// The settings were not accepted.
     #[display("{_0}")]
     Platform(manifest::Error),
-    /// A daemon's settings are wrong.
+    /// A daemon's settings are invalid.
     #[display("{_0}")]
     Settings(settings::Report),
     /// An entry can't be started.
     #[display("{_0}")]
     Start(StartError),
-    /// A caller got no answer.
+    /// A call of the client failed.
     #[display("{_0}")]
     Client(client::Error),
 }
 
 /// Two data centres with two entries each, executors and a platform.
-pub struct World {
+pub struct Deployment {
     ledger: Ledger,
-    executors: Vec<Placed>,
+    executors: Vec<PlacedExecutor>,
     entries: Vec<Process>,
     _platform: Platform,
 }
 
-impl World {
-    /// Starts everything and waits until every entry is ready and knows all others.
+impl Deployment {
+    /// Starts all parts and waits until every entry has settings and sees all others as live.
     ///
     /// # Errors
     ///
     /// When a part can't be started.
-    pub async fn start(options: Options, log: &Log) -> Result<World, Error> {
+    pub async fn start(options: Options, log: &Log) -> Result<Deployment, Error> {
         let ledger = Ledger::default();
-        let platform = Platform::spawn(anywhere())?;
+        let platform = Platform::spawn(loopback())?;
         let executors = executors(options.executors, &ledger)?;
         let store = gateway::Options::new(vec![platform.address()]);
         let store = gateway::Client::new(store);
         manifest::accept(&store, Revision(0), &files(&executors), Uuid::new_v4()).await?;
         let authority = Authority::create()?;
         let mut entries = Vec::new();
-        for zone in ZONES {
-            for index in 1..=ENTRIES {
-                let name = format!("{zone}-entry-{index}");
-                let setup = setup(&name, zone, &platform, &authority, log)?;
+        for data_centre in DATA_CENTRES {
+            for index in 1..=ENTRIES_PER_DATA_CENTRE {
+                let name = format!("{data_centre}-entry-{index}");
+                let setup = setup(&name, data_centre, &platform, &authority, log)?;
                 entries.push(Process::start(setup).await?);
             }
         }
-        let world = World { ledger, executors, entries, _platform: platform };
-        world.settle().await;
-        Ok(world)
+        let deployment = Deployment { ledger, executors, entries, _platform: platform };
+        deployment.wait_ready().await;
+        Ok(deployment)
     }
 
-    /// What the executors ran.
+    /// Returns the ledger of what the executors ran.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Tasks that can run at one time.
+    /// Returns the number of tasks that can run at the same time.
     pub fn slots(&self) -> usize {
-        self.executors.len() * SLOTS
+        self.executors.len() * SLOTS_PER_EXECUTOR
     }
 
-    /// The entries.
+    /// Returns the entries.
     pub fn entries(&self) -> &[Process] {
         &self.entries
     }
 
-    /// A caller of the firm that knows all entries.
+    /// Creates a client with the firm's key for all entries.
     ///
     /// # Errors
     ///
     /// Never, as there are entries.
-    pub fn caller(&self) -> Result<Client, Error> {
+    pub fn client(&self) -> Result<Client, Error> {
         Ok(Client::new(self.addresses(), KEY)?)
     }
 
-    /// An operator that knows all entries.
+    /// Creates a client with the operator's key for all entries.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
         Ok(Client::new(self.addresses(), OPERATOR)?)
     }
 
-    /// Stops the entries one after another, each as planned.
+    /// Drains and stops the entries one after another.
     pub async fn stop(self) {
         for entry in self.entries {
             entry.engine().drain();
@@ -138,8 +138,8 @@
         self.entries.iter().map(Process::http)
     }
 
-    /// Waits until every entry has the settings and knows all others.
-    async fn settle(&self) {
+    /// Waits until every entry has the settings and sees all others as live.
+    async fn wait_ready(&self) {
         let others = self.entries.len() - 1;
         let settled = |process: &Process| {
             let engine = process.engine();
@@ -148,26 +148,31 @@
             engine.settings().revision > Revision(0) && live == others
         };
         while !self.entries.iter().all(settled) {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
 
-fn executors(count: usize, ledger: &Ledger) -> io::Result<Vec<Placed>> {
-    let places = ZONES.into_iter().flat_map(|zone| (1..=count).map(move |index| (zone, index)));
-    let place = |(zone, index)| {
-        let name = format!("{zone}-{index}");
-        let options =
-            executor::Options { name: name.clone(), slots: SLOTS, ..executor::Options::default() };
-        let executor = Executor::spawn(anywhere(), options, ledger.clone())?;
-        Ok(Placed { name, zone, executor })
+fn executors(count: usize, ledger: &Ledger) -> io::Result<Vec<PlacedExecutor>> {
+    let places = DATA_CENTRES
+        .into_iter()
+        .flat_map(|data_centre| (1..=count).map(move |index| (data_centre, index)));
+    let place = |(data_centre, index)| {
+        let name = format!("{data_centre}-{index}");
+        let options = executor::Options {
+            name: name.clone(),
+            slots: SLOTS_PER_EXECUTOR,
+            ..executor::Options::default()
+        };
+        let executor = Executor::spawn(loopback(), options, ledger.clone())?;
+        Ok(PlacedExecutor { name, data_centre, executor })
     };
     places.map(place).collect()
 }
 
 fn setup(
     name: &str,
-    zone: &str,
+    data_centre: &str,
     platform: &Platform,
     authority: &Authority,
     log: &Log,
@@ -175,9 +180,9 @@
     let pair = authority.issue(EntryId::of(name), ENTRY_LIFETIME)?;
     let daemon = serde_json::json!({
         "name": name,
-        "data-centre": zone,
-        "http": anywhere(),
-        "quic": anywhere(),
+        "data-centre": data_centre,
+        "http": loopback(),
+        "quic": loopback(),
         "platform": [platform.address()],
         "tls": { "key": "", "certificate": "", "authority": "" },
     });
@@ -190,7 +195,7 @@
     })
 }
 
-/// A loopback port that the system chooses.
-fn anywhere() -> SocketAddr {
+/// Loopback address with a port that the system chooses.
+fn loopback() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
--- a/components/demo/src/ideal.rs
+++ b/components/demo/src/ideal.rs
@@ -1,8 +1,9 @@
-//! The ideal that a run is measured against.
+//! Lower bound that the response time of a run is compared with.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
-/// Time until the last of `tasks` ends when one queue feeds `slots` in order, without latency.
+/// Returns the time until the last of `tasks` ends if a single queue feeds `slots` in order and
+/// without latency.
 pub fn makespan(tasks: &[Duration], slots: usize) -> Duration {
     let mut free: BinaryHeap<_> = (0..slots.max(1)).map(|_| Reverse(Duration::ZERO)).collect();
     let mut last = Duration::ZERO;
--- a/components/demo/src/lib.rs
+++ b/components/demo/src/lib.rs
@@ -1,11 +1,11 @@
-//! Two data centres in one process: entries over real sockets, with stand-ins for the platform and
-//! the executors, and a run that shows what they do.
+//! Demonstration: two data centres in one process with entries on real sockets and stand-ins for
+//! the platform and the executors, and a run of jobs on them.
 
+mod deployment;
 mod ideal;
 mod run;
 mod settings;
-mod world;
 
+pub use deployment::{Deployment, Error, Options};
 pub use ideal::makespan;
 pub use run::{Refusal, Summary, run};
-pub use world::{Error, Options, World};
--- a/components/demo/src/run.rs
+++ b/components/demo/src/run.rs
@@ -1,6 +1,6 @@
-//! A run: a job, the same job again, and a job that can't be done in time.
+//! A run: a job, the same job resubmitted, and a job with a deadline that can't be met.
 
-use crate::{Error, World, makespan, settings::SERVICE};
+use crate::{Deployment, Error, makespan, settings::SERVICE};
 use client::{
     Client, Job,
     job::{Complete, Task},
@@ -12,89 +12,90 @@
 use standin::ledger::Step;
 use std::time::{Duration, Instant};
 
-/// Time between two reports of progress.
-const REPORT: Duration = Duration::from_millis(50);
+/// Interval of progress reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest run time of a task, in milliseconds.
-const SHORTEST: u64 = 50;
+/// Minimum run time of a task, in milliseconds.
+const MIN_RUN_TIME_MS: u64 = 50;
 
-/// Run times are spread evenly over this range, in milliseconds.
-const SPREAD: u64 = 250;
+/// Size of the range over which run times are spread evenly, in milliseconds.
+const RUN_TIME_RANGE_MS: u64 = 250;
 
-/// A multiplier that spreads consecutive numbers; the 64-bit golden ratio.
-const SPREADER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier of Fibonacci hashing, the 64-bit golden ratio; spreads consecutive numbers.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Deadline of the job that can't be done in time.
-const HOPELESS: Span = Span::from_millis(200);
+/// Deadline of the job that can't finish in time.
+const INFEASIBLE_DEADLINE: Span = Span::from_millis(200);
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// The job.
+    /// Identifier of the job.
     pub id: String,
-    /// Tasks in it.
+    /// Number of tasks in the job.
     pub tasks: usize,
-    /// Outputs of the answer that are those of their tasks.
+    /// Number of outputs that belong to the task at their position.
     pub matching: usize,
-    /// Slots of all executors.
+    /// Total slots of all executors.
     pub slots: usize,
-    /// From the submission to the whole answer, in milliseconds.
+    /// Time from the submission to the complete answer, in milliseconds.
     pub response_ms: f64,
-    /// The same with one queue over all slots and no latency.
+    /// Response time with a single queue for all slots and no latency, in milliseconds.
     pub ideal_ms: f64,
-    /// Tasks that started; each once if nothing is wrong.
+    /// Number of task starts; equals `tasks` if each started once.
     pub started: usize,
-    /// Tasks that started more than once.
+    /// Number of tasks that started more than once.
     pub started_twice: usize,
-    /// Attempts that an executor refused as busy.
+    /// Number of attempts that executors refused as busy.
     pub refused_attempts: usize,
-    /// Tasks that started when the job was submitted a second time.
+    /// Number of tasks that started when the job was resubmitted; must be 0.
     pub started_by_resubmission: usize,
-    /// The job that could not be done in time.
+    /// Result of the job with the deadline that can't be met.
     pub refusal: Refusal,
 }
 
-/// A job that was refused.
+/// A rejected job.
 #[derive(Clone, Debug, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// Error message, or a note that the job was not rejected.
     pub detail: String,
-    /// What is known about it.
+    /// Whether the job ran, as far as known; `None` if unknown.
     pub outcome: Option<Outcome>,
-    /// Tasks of it that started.
+    /// Number of its tasks that started; must be 0.
     pub started: usize,
 }
 
-/// Runs a job of `tasks` tasks in `world` and reports how many have ended.
+/// Runs a job of `tasks` tasks in `deployment`, and reports the number of ended tasks to
+/// `progress`.
 ///
 /// # Errors
 ///
-/// When the job has no whole answer.
+/// When the job has no complete answer.
 pub async fn run(
-    world: &World,
+    deployment: &Deployment,
     tasks: usize,
     mut progress: impl FnMut(usize),
 ) -> Result<Summary, Error> {
-    let caller = world.caller()?;
+    let client = deployment.client()?;
     let run_times: Vec<_> = (0..tasks as u64).map(run_time).collect();
     let mut job = job(&run_times);
     let begun = Instant::now();
-    let answered = caller.job(&job);
-    let answer = answered.or(watch(world, &mut progress)).await?;
+    let answered = client.job(&job);
+    let answer = answered.or(watch(deployment, &mut progress)).await?;
     let response = begun.elapsed();
-    let ledger = world.ledger();
+    let ledger = deployment.ledger();
     let started = ledger.count(Step::Start);
     job.id = answer.id.parse::<SubmissionId>().ok();
-    caller.job(&job).await?;
+    client.job(&job).await?;
     let started_again = ledger.count(Step::Start) - started;
-    let refusal = hopeless(world, &caller, &run_times).await;
+    let refusal = submit_infeasible(deployment, &client, &run_times).await;
     Ok(Summary {
         id: answer.id.to_string(),
         tasks,
         matching: matching(&answer),
-        slots: world.slots(),
+        slots: deployment.slots(),
         response_ms: milliseconds(response),
-        ideal_ms: milliseconds(makespan(&run_times, world.slots())),
+        ideal_ms: milliseconds(makespan(&run_times, deployment.slots())),
         started,
         started_twice: ledger.repeated().len(),
         refused_attempts: ledger.count(Step::Refusal),
@@ -104,22 +105,26 @@
 }
 
 /// Reports progress until it is dropped.
-async fn watch<T>(world: &World, progress: &mut impl FnMut(usize)) -> T {
+async fn watch<T>(deployment: &Deployment, progress: &mut impl FnMut(usize)) -> T {
     loop {
-        progress(world.ledger().count(Step::End));
-        Timer::after(REPORT).await;
+        progress(deployment.ledger().count(Step::End));
+        Timer::after(REPORT_INTERVAL).await;
     }
 }
 
-/// Submits a job that can't be done in time, which must be refused.
-async fn hopeless(world: &World, caller: &Client, run_times: &[Duration]) -> Refusal {
-    let before = world.ledger().count(Step::Start);
-    let job = Job { deadline: Some(HOPELESS), ..job(run_times) };
-    let error = caller.job(&job).await.err();
+/// Submits a job that can't finish in time and must be rejected.
+async fn submit_infeasible(
+    deployment: &Deployment,
+    client: &Client,
+    run_times: &[Duration],
+) -> Refusal {
+    let before = deployment.ledger().count(Step::Start);
+    let job = Job { deadline: Some(INFEASIBLE_DEADLINE), ..job(run_times) };
+    let error = client.job(&job).await.err();
     Refusal {
         detail: error.as_ref().map_or_else(|| "not refused".to_owned(), ToString::to_string),
         outcome: error.and_then(|error| error.outcome()),
-        started: world.ledger().count(Step::Start) - before,
+        started: deployment.ledger().count(Step::Start) - before,
     }
 }
 
@@ -142,13 +147,13 @@
     }
 }
 
-/// Run times that look random and are the same in each run.
+/// Returns a pseudo-random run time that is the same in each run.
 fn run_time(index: u64) -> Duration {
-    let spread = (index.wrapping_mul(SPREADER) >> 32) % SPREAD;
-    Duration::from_millis(SHORTEST + spread)
+    let spread = (index.wrapping_mul(HASH_MULTIPLIER) >> 32) % RUN_TIME_RANGE_MS;
+    Duration::from_millis(MIN_RUN_TIME_MS + spread)
 }
 
-/// Outputs that stand at the place of their tasks.
+/// Counts the outputs that belong to the task at their position.
 fn matching(answer: &Complete) -> usize {
     let outputs = answer.outputs.iter().enumerate();
     outputs.filter(|(index, output)| output.body["echo"] == *index).count()
--- a/components/demo/src/settings.rs
+++ b/components/demo/src/settings.rs
@@ -1,56 +1,56 @@
-//! The settings of the demonstration.
+//! Settings files of the demonstration.
 
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use settings::Files;
 use standin::Executor;
 
-/// The data centres.
-pub(crate) const ZONES: [&str; 2] = ["cutting", "polishing"];
+/// Names of the data centres.
+pub(crate) const DATA_CENTRES: [&str; 2] = ["cutting", "polishing"];
 
-/// The service that the tasks are for.
+/// Service of the tasks.
 pub(crate) const SERVICE: &str = "templating";
 
-/// The key of the firm.
+/// Key of the firm.
 pub(crate) const KEY: &str = "demo-firm";
 
-/// The key of the operator.
+/// Key of the operator.
 pub(crate) const OPERATOR: &str = "demo-operator";
 
 /// Slots of each executor.
-pub(crate) const SLOTS: usize = 8;
+pub(crate) const SLOTS_PER_EXECUTOR: usize = 8;
 
-/// An executor and where it stands.
-pub(crate) struct Placed {
+/// An executor with its name and data centre.
+pub(crate) struct PlacedExecutor {
     pub(crate) name: String,
-    pub(crate) zone: &'static str,
+    pub(crate) data_centre: &'static str,
     pub(crate) executor: Executor,
 }
 
-/// The files of a site with these executors.
-pub(crate) fn files(executors: &[Placed]) -> Files {
-    let member = |placed: &Placed| {
+/// Returns the settings files for these executors.
+pub(crate) fn files(executors: &[PlacedExecutor]) -> Files {
+    let member = |placed: &PlacedExecutor| {
         let terms = json!({
-            "data-centre": placed.zone,
+            "data-centre": placed.data_centre,
             "address": placed.executor.address().to_string(),
             "service": SERVICE,
         });
         (placed.name.clone(), terms)
     };
     let executors: Map<String, Value> = executors.iter().map(member).collect();
-    let [one, other] = ZONES;
+    let [one, other] = DATA_CENTRES;
     let digest = |key: &str| settings::digest(key.as_bytes()).to_string();
     let parts = [
         (
             "10-data-centres.json",
             json!({
                 "data-centres": { one: { "region": "zilina" }, other: { "region": "zilina" } },
-                "links": { "between": { "between": ZONES, "latency": "1400us" } },
+                "links": { "between": { "between": DATA_CENTRES, "latency": "1400us" } },
             }),
         ),
         (
             "20-services.json",
-            json!({ "services": { SERVICE: { "repeatable": true, "slots": SLOTS } } }),
+            json!({ "services": { SERVICE: { "repeatable": true, "slots": SLOTS_PER_EXECUTOR } } }),
         ),
         ("30-executors.json", json!({ "executors": executors })),
         (
@@ -62,5 +62,8 @@
             }),
         ),
     ];
-    parts.into_iter().map(|(name, part)| (name.into(), Bytes::from(part.to_string()))).collect()
+    parts
+        .into_iter()
+        .map(|(name, content)| (name.into(), Bytes::from(content.to_string())))
+        .collect()
 }
--- a/components/server/tests/caller.rs
+++ b/components/server/tests/caller.rs
@@ -45,7 +45,7 @@
     let client = client(&server, KEY);
     assert_eq!(block_on(client.job(&job())).unwrap().outputs[0].body, 1);
     server.submission();
-    let id = block_on(client.begin(&job())).unwrap();
+    let id = block_on(client.start_job(&job())).unwrap();
     assert!(matches!(server.seen.recv().unwrap(), BackendEvent::Begun(job) if job.id == id));
     let fetched = block_on(client.fetch(id, Span::from_secs(1))).unwrap();
     assert!(matches!(fetched, Fetched::Complete(complete) if complete.outputs.len() == 1));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The arguments.
+//! Command line arguments.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use compact_str::CompactString;
@@ -26,13 +26,13 @@
 }
 
 impl Cli {
-    /// The console that the arguments ask for.
+    /// Creates the console for the selected output format.
     pub(crate) fn console(&self) -> Console {
         Console::new(if self.json { Audience::Script } else { Audience::Person })
     }
 }
 
-/// The subcommands.
+/// Subcommands of `primrosestep`.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
     /// Check a folder of settings.
@@ -50,7 +50,7 @@
     /// Print what applying a folder of settings would change.
     #[command(after_help = "Example:\n  primrosestep diff settings/ --platform 10.0.0.5:2379")]
     Diff(Diff),
-    /// Print what an entry sees.
+    /// Print the state of an entry.
     #[command(after_help = "\
 Example:
   primrosestep show executors --entry 10.0.0.7:8080 --key $OPERATOR_KEY")]
@@ -63,7 +63,7 @@
   primrosestep submit job.json --entry 10.0.0.7:8080,10.0.0.8:8080
   primrosestep submit - --no-wait < job.json")]
     Submit(Submit),
-    /// Make a single request and print its answer.
+    /// Send a single request and print its answer.
     #[command(after_help = "\
 Example:
   echo '{\"sink\": 3}' | primrosestep request templating - --deadline 2s")]
@@ -79,7 +79,7 @@
 Example:
   primrosestep drain --entry 10.0.0.7:8080 --key $OPERATOR_KEY")]
     Drain(Entry),
-    /// Tell from logs what became of a job.
+    /// Report from logs what happened to a job.
     #[command(after_help = "\
 Reads the log lines of any number of entries, in any order, from files or from standard input, and
 prints those about the job in order of time, then the cause of its end.
@@ -88,7 +88,7 @@
   primrosestep explain 5c0e7a21d94b36f8 entry-1.log entry-2.log
   cat *.log | primrosestep explain 5c0e7a21d94b36f8")]
     Explain(Explain),
-    /// Make keys and certificates.
+    /// Create keys and certificates.
     #[command(
         subcommand,
         after_help = "\
@@ -98,10 +98,10 @@
   primrosestep keys firm"
     )]
     Keys(Keys),
-    /// Run two data centres in this process, submit a job to them and print how it went.
+    /// Run two data centres in this process, submit a job to them and print the results.
     #[command(after_help = "Example:\n  primrosestep demo --tasks 400")]
     Demo(Demo),
-    /// Print the completions of a shell.
+    /// Print the completion script for a shell.
     #[command(after_help = "\
 Example:
   primrosestep completions bash > /etc/bash_completion.d/primrosestep")]
@@ -120,11 +120,11 @@
 pub(crate) struct Explain {
     /// The caller's name of the job, or its id of a request.
     pub(crate) job: CompactString,
-    /// Logs; standard input if there are none.
+    /// Log files; standard input if there are none.
     pub(crate) logs: Vec<PathBuf>,
 }
 
-/// Where the platform is.
+/// Arguments with the platform's address.
 #[derive(Debug, Args)]
 pub(crate) struct Platform {
     /// Address of the platform's key-value service; may be given several times.
@@ -139,7 +139,7 @@
     pub(crate) folder: Folder,
     #[command(flatten)]
     pub(crate) platform: Platform,
-    /// Revision that the folder is based on, instead of the one that it remembers.
+    /// Revision that the folder is based on, instead of the one in its file .revision.
     #[arg(long)]
     pub(crate) base: Option<Revision>,
 }
@@ -153,7 +153,7 @@
     pub(crate) platform: Platform,
 }
 
-/// Which entries to speak to, and as whom.
+/// Arguments with the entries to connect to and the key to authenticate with.
 #[derive(Debug, Args)]
 pub(crate) struct Entry {
     /// Address of an entry; may be given several times.
@@ -196,7 +196,7 @@
     /// Print the job's id at once, for `fetch`.
     #[arg(long)]
     pub(crate) no_wait: bool,
-    /// Time until the answer is of no use, such as 10s; goes before the job's own.
+    /// Time until the answer is no longer needed, such as 10s; overrides the job's own deadline.
     #[arg(long)]
     pub(crate) deadline: Option<Span>,
     #[command(flatten)]
@@ -213,16 +213,16 @@
     /// Media type of the body.
     #[arg(long, default_value = "application/json")]
     pub(crate) content_type: CompactString,
-    /// The firm's crew that it is for.
+    /// The firm's crew that the request is for.
     #[arg(long)]
     pub(crate) crew: Option<CompactString>,
-    /// Never run it again after an attempt that may have run.
+    /// Never run the request again after an attempt that may have run.
     #[arg(long)]
     pub(crate) not_repeatable: bool,
-    /// Time until the answer is of no use, such as 2s.
+    /// Time until the answer is no longer needed, such as 2s.
     #[arg(long)]
     pub(crate) deadline: Option<Span>,
-    /// Id of the same request, made before.
+    /// Id of the same request if it was sent before.
     #[arg(long)]
     pub(crate) id: Option<SubmissionId>,
     #[command(flatten)]
@@ -250,7 +250,7 @@
     pub(crate) entry: Entry,
 }
 
-/// What `keys` makes.
+/// Subcommands of `keys`.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Keys {
     /// The authority that signs the entries' certificates: authority.pem and authority.key.pem.
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -17,13 +17,13 @@
 use std::{fs, io, path::Path};
 use uuid::Uuid;
 
-/// File in a folder that holds the revision it was last applied as.
-const BASE_FILE: &str = ".revision";
+/// File in a settings folder with the revision that the folder was last applied as.
+const REVISION_FILE: &str = ".revision";
 
-/// Calls made to settle a change whose answers are lost.
-const ATTEMPTS: usize = 5;
+/// Maximum attempts to make a change when responses are lost.
+const MAX_ATTEMPTS: usize = 5;
 
-/// A change that is in force.
+/// Result of a change that was accepted.
 #[derive(Debug, Display, Serialize)]
 #[display("revision {revision} is in force{}", if *changed { "" } else { ", as before" })]
 struct Applied {
@@ -31,7 +31,7 @@
     changed: bool,
 }
 
-/// A change that was not made.
+/// Result of a change that was rejected because of a conflict.
 #[derive(Debug, Display, Serialize)]
 #[display(
     "nothing was changed: the folder is based on revision {base}, the platform holds {}\n\
@@ -41,11 +41,11 @@
 )]
 struct Conflict {
     base: Revision,
-    /// From their settings to the folder.
+    /// Changes from the platform's settings to the folder.
     theirs: Changes,
 }
 
-/// Puts a folder in force.
+/// Applies a folder of settings.
 pub(crate) fn run(args: &Apply, console: &Console) -> Result<Exit, Error> {
     let dir = &args.folder.dir;
     let folder = settings::load(dir)?;
@@ -56,33 +56,38 @@
     smol::block_on(async {
         let current = store::current(&client).await?;
         if current.files == folder.files && current.revision != Revision(0) {
-            remember(dir, current.revision, console);
+            write_revision(dir, current.revision, console);
             console.print(&Applied { revision: current.revision, changed: false });
             return Ok(Exit::Done);
         }
-        let base = args.base.or_else(|| remembered(dir)).unwrap_or_default();
+        let base = args.base.or_else(|| read_revision(dir)).unwrap_or_default();
         if base != current.revision {
-            return Ok(refuse(base, &current, &folder.files, console));
+            return Ok(report_conflict(base, &current, &folder.files, console));
         }
-        match swap(&client, base, &folder.files).await? {
+        match accept_with_retries(&client, base, &folder.files).await? {
             Acceptance::Accepted { revision } => {
-                remember(dir, revision, console);
+                write_revision(dir, revision, console);
                 console.print(&Applied { revision, changed: true });
                 Ok(Exit::Done)
             }
             Acceptance::Conflict { .. } => {
                 let current = store::current(&client).await?;
-                Ok(refuse(base, &current, &folder.files, console))
+                Ok(report_conflict(base, &current, &folder.files, console))
             }
         }
     })
 }
 
-/// Makes one change, however often answers are lost.
-async fn swap(client: &Client, base: Revision, files: &Files) -> Result<Acceptance, Error> {
+/// Makes one change, with retries while responses are lost. The retries have the same change id, so
+/// that the change is made only once.
+async fn accept_with_retries(
+    client: &Client,
+    base: Revision,
+    files: &Files,
+) -> Result<Acceptance, Error> {
     let change = Uuid::new_v4();
     let mut outcome = manifest::accept(client, base, files, change).await;
-    for _ in 1..ATTEMPTS {
+    for _ in 1..MAX_ATTEMPTS {
         match &outcome {
             Err(manifest::Error::Store(error)) if error.is_unsettled() => {
                 outcome = manifest::accept(client, base, files, change).await;
@@ -93,20 +98,21 @@
     Ok(outcome?)
 }
 
-fn refuse(base: Revision, current: &Current, files: &Files, console: &Console) -> Exit {
+fn report_conflict(base: Revision, current: &Current, files: &Files, console: &Console) -> Exit {
     console.print(&Conflict { base, theirs: store::changes(current, files) });
     Exit::Conflict
 }
 
-/// The revision that the folder was last applied as.
-fn remembered(dir: &Path) -> Option<Revision> {
-    fs::read_to_string(dir.join(BASE_FILE)).ok()?.trim().parse().ok()
+/// Reads the revision that the folder was last applied as.
+fn read_revision(dir: &Path) -> Option<Revision> {
+    fs::read_to_string(dir.join(REVISION_FILE)).ok()?.trim().parse().ok()
 }
 
-/// A folder that can't be written to needs `--base` next time.
-fn remember(dir: &Path, revision: Revision, console: &Console) {
-    let written: io::Result<()> = fs::write(dir.join(BASE_FILE), format!("{revision}\n"));
+/// Writes the revision to the folder. If that fails, the next `apply` needs `--base`.
+fn write_revision(dir: &Path, revision: Revision, console: &Console) {
+    let written: io::Result<()> = fs::write(dir.join(REVISION_FILE), format!("{revision}\n"));
     if let Err(error) = written {
-        console.note(&format!("note: {BASE_FILE} not written ({error}); use --base {revision}"));
+        console
+            .note(&format!("note: {REVISION_FILE} not written ({error}); use --base {revision}"));
     }
 }
--- a/src/cmd/call.rs
+++ b/src/cmd/call.rs
@@ -1,9 +1,9 @@
-//! The client of the entries.
+//! Client for the entries.
 
 use crate::{cli::Entry, exit::Error};
 use client::Client;
 
-/// A client of the entries that the arguments name.
+/// Creates a client for the entries and the key in the arguments.
 pub(crate) fn open(args: &Entry) -> Result<Client, Error> {
     if args.entry.is_empty() {
         return Err(Error::Missing {
--- a/src/cmd/cancel.rs
+++ b/src/cmd/cancel.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use site::submission::Outcome;
 
-/// A job that was ended.
+/// Result of a cancelled job.
 #[derive(Debug, Display, Serialize)]
 #[display("cancelled: {}", text(*outcome))]
 struct Ended {
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -8,7 +8,7 @@
 use derive_more::Display;
 use serde::Serialize;
 
-/// What a folder holds.
+/// Number of objects in a folder of settings, and its warnings.
 #[derive(Debug, Display, Serialize)]
 #[display(
     "{files} files: {data_centres} data centres, {services} services, {executors} executors, \
@@ -25,7 +25,7 @@
     warnings: Vec<String>,
 }
 
-/// Checks a folder.
+/// Checks a folder of settings.
 pub(crate) fn run(args: &Folder, console: &Console) -> Result<Exit, Error> {
     let folder = settings::load(&args.dir)?;
     let site = &folder.checked.site;
--- a/src/cmd/completions.rs
+++ b/src/cmd/completions.rs
@@ -7,7 +7,7 @@
 use clap::CommandFactory;
 use console::Console;
 
-/// Prints the completions of a shell.
+/// Prints the completion script for a shell.
 pub(crate) fn run(args: &Completions, console: &Console) -> Exit {
     let mut command = Cli::command();
     let name = command.get_name().to_owned();
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -5,7 +5,7 @@
     exit::{Error, Exit},
 };
 use console::Console;
-use demo::{Options, Refusal, Summary, World};
+use demo::{Deployment, Options, Refusal, Summary};
 use derive_more::Display;
 use serde::Serialize;
 use site::submission::Outcome;
@@ -17,10 +17,10 @@
 };
 use telemetry::{Format, Guard, Level, Log};
 
-/// Most threads that the demonstration uses.
+/// Maximum number of threads of the demonstration.
 const MAX_THREADS: usize = 4;
 
-/// How a run went.
+/// Printed results of a run.
 #[derive(Debug, Display, Serialize)]
 #[serde(transparent)]
 #[display("{}", text(_0))]
@@ -35,14 +35,14 @@
     smol::block_on(async {
         console.note(&"starting two data centres with two entries each");
         let options = Options { executors: usize::from(args.executors) };
-        let world = World::start(options, &log).await?;
+        let deployment = Deployment::start(options, &log).await?;
         let mut progress = console.progress(tasks as u64);
-        let summary = demo::run(&world, tasks, |done| progress.update(done as u64)).await?;
+        let summary = demo::run(&deployment, tasks, |done| progress.update(done as u64)).await?;
         progress.update(tasks as u64);
         progress.finish();
-        let exit = judge(&summary);
+        let exit = exit_code(&summary);
         console.print(&Report(summary));
-        world.stop().await;
+        deployment.stop().await;
         Ok(exit)
     })
 }
@@ -60,8 +60,8 @@
     Ok((log, guard))
 }
 
-/// Whether everything that must hold held.
-fn judge(summary: &Summary) -> Exit {
+/// Returns whether the run kept all guarantees, as an exit code.
+fn exit_code(summary: &Summary) -> Exit {
     let whole = summary.matching == summary.tasks;
     let once = summary.started_twice == 0 && summary.started_by_resubmission == 0;
     match whole && once && summary.refusal.started == 0 {
@@ -81,7 +81,7 @@
         format!("started        {} tasks, {} twice", summary.started, summary.started_twice),
         format!("refused        {} attempts at executors", summary.refused_attempts),
         format!("resubmitted    same answer, {} tasks started", summary.started_by_resubmission),
-        format!("hopeless job   refused: {}", describe(refusal)),
+        format!("infeasible job rejected: {}", describe(refusal)),
     ];
     lines.join("\n")
 }
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -7,7 +7,7 @@
 };
 use console::Console;
 
-/// Prints what applying a folder would change.
+/// Prints the changes that applying a folder would make.
 pub(crate) fn run(args: &Diff, console: &Console) -> Result<Exit, Error> {
     let folder = settings::load(&args.folder.dir)?;
     let client = store::open(&args.platform)?;
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -11,7 +11,7 @@
     io::{self, Read},
 };
 
-/// Prints what logs say of a job, and the cause of its end.
+/// Prints the log lines about a job, and the cause of its end.
 pub(crate) fn run(args: &Explain, console: &Console) -> Result<Exit, Error> {
     let mut log = Vec::new();
     if args.logs.is_empty() {
@@ -24,7 +24,7 @@
         let read = File::open(path).and_then(|mut file| file.read_to_end(&mut log));
         let path = path.to_string_lossy().into();
         read.map_err(|source| Error::File { path, source })?;
-        // A file may end within a line.
+        // The last line of a file may lack a line break.
         log.push(b'\n');
     }
     let story = Story::find(&args.job, &String::from_utf8_lossy(&log));
--- a/src/cmd/fetch.rs
+++ b/src/cmd/fetch.rs
@@ -10,14 +10,14 @@
 use derive_more::Display;
 use serde::Serialize;
 
-/// A job without an answer yet.
+/// Result for a job without an answer yet.
 #[derive(Debug, Display, Serialize)]
 #[display("no answer yet")]
 struct Pending {
     pending: bool,
 }
 
-/// Prints the answer of a job.
+/// Prints the answer to a job.
 pub(crate) fn run(args: &Fetch, console: &Console) -> Result<Exit, Error> {
     let client = call::open(&args.entry)?;
     match smol::block_on(client.fetch(args.id, args.wait))? {
--- a/src/cmd/input.rs
+++ b/src/cmd/input.rs
@@ -1,4 +1,4 @@
-//! Reading a file or standard input.
+//! Reads a file or standard input.
 
 use crate::exit::Error;
 use std::{
@@ -7,10 +7,10 @@
     path::Path,
 };
 
-/// Stands for standard input.
+/// Path that denotes standard input.
 const STDIN: &str = "-";
 
-/// All of a file, or of standard input for `-`.
+/// Reads a whole file, or standard input for `-`.
 pub(crate) fn read(path: &Path) -> Result<Vec<u8>, Error> {
     let bytes = match path == Path::new(STDIN) {
         true => read_stdin(),
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -18,13 +18,13 @@
 };
 use uuid::Uuid;
 
-/// Name of the authority's files.
-const AUTHORITY: &str = "authority";
+/// Base name of the authority's files.
+const AUTHORITY_NAME: &str = "authority";
 
-/// Only the owner may read a private key.
-const PRIVATE: u32 = 0o600;
+/// File mode of keys and certificates: only the owner may read and write.
+const FILE_MODE: u32 = 0o600;
 
-/// Files that were written.
+/// Paths of the files that were written.
 #[derive(Debug, Display, Serialize)]
 #[display("{}\n{}", certificate.display(), key.display())]
 struct Written {
@@ -32,7 +32,7 @@
     key: PathBuf,
 }
 
-/// A new key. It is shown once and stored nowhere.
+/// A new key. It is printed once and not stored.
 #[derive(Debug, Display, Serialize)]
 #[display("key     {key}\ndigest  {digest}")]
 struct Key {
@@ -47,11 +47,11 @@
     digest: String,
 }
 
-/// Makes keys and certificates.
+/// Creates keys and certificates.
 pub(crate) fn run(args: &Keys, console: &Console) -> Result<Exit, Error> {
     match args {
         Keys::Authority { out } => {
-            console.print(&write(out, AUTHORITY, &Authority::create()?.pair)?);
+            console.print(&write(out, AUTHORITY_NAME, &Authority::create()?.pair)?);
         }
         Keys::Entry { name, out } => {
             let pair = authority(out)?.issue(EntryId::of(name), ENTRY_LIFETIME)?;
@@ -73,11 +73,11 @@
 
 fn authority(dir: &Path) -> Result<Authority, Error> {
     let read = |path: PathBuf| fs::read_to_string(&path).map_err(|source| file(&path, source));
-    let (certificate, key) = paths(dir, AUTHORITY);
+    let (certificate, key) = paths(dir, AUTHORITY_NAME);
     Ok(Authority::from_pem(read(certificate)?, read(key)?))
 }
 
-/// Writes a pair; files that exist are kept, as others may rely on them.
+/// Writes a certificate and its key. Fails if a file exists, since it may be in use.
 fn write(dir: &Path, name: &str, pair: &Pair) -> Result<Written, Error> {
     fs::create_dir_all(dir).map_err(|source| file(dir, source))?;
     let (certificate, key) = paths(dir, name);
@@ -87,7 +87,7 @@
 }
 
 fn create(path: &Path, text: &str) -> Result<(), Error> {
-    let opened = OpenOptions::new().write(true).create_new(true).mode(PRIVATE).open(path);
+    let opened = OpenOptions::new().write(true).create_new(true).mode(FILE_MODE).open(path);
     opened
         .and_then(|mut opened| opened.write_all(text.as_bytes()))
         .map_err(|source| file(path, source))
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one a file.
+//! The subcommands, one per file.
 
 mod apply;
 mod call;
@@ -23,7 +23,7 @@
 };
 use console::Console;
 
-/// Runs what the arguments ask for.
+/// Runs the selected subcommand.
 pub(crate) fn run(cli: Cli, console: &Console) -> Result<Exit, Error> {
     match cli.command {
         Command::Check(args) => check::run(&args, console),
--- a/src/cmd/request.rs
+++ b/src/cmd/request.rs
@@ -9,20 +9,20 @@
 use console::{Audience, Console};
 use serde::Serialize;
 
-/// First HTTP status that tells a failure.
-const FIRST_FAILURE: u16 = 400;
+/// Lowest HTTP status that is a failure.
+const MIN_FAILURE_STATUS: u16 = 400;
 
-/// An answer as scripts get it.
+/// The answer in the JSON format for scripts.
 #[derive(Serialize)]
 struct Answer<'a> {
     id: String,
     status: u16,
     content_type: &'a str,
-    /// Bytes that are no text are replaced; without `--json` the body is printed as it is.
+    /// Bytes that are not UTF-8 are replaced. Without `--json` the body is printed unchanged.
     body: &'a str,
 }
 
-/// Makes a single request.
+/// Sends a single request.
 pub(crate) fn run(args: Request, console: &Console) -> Result<Exit, Error> {
     let client = call::open(&args.entry)?;
     let request = client::Request {
@@ -36,7 +36,7 @@
     };
     let response = smol::block_on(client.request(&request))?;
     print(&response, console);
-    Ok(if response.status < FIRST_FAILURE { Exit::Done } else { Exit::Failed })
+    Ok(if response.status < MIN_FAILURE_STATUS { Exit::Done } else { Exit::Failed })
 }
 
 fn print(response: &Response, console: &Console) {
--- a/src/cmd/store.rs
+++ b/src/cmd/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, and the settings in it.
+//! Reads the settings in the platform's store.
 
 use crate::{cli::Platform, exit::Error};
 use derive_more::Display;
@@ -10,26 +10,26 @@
 use settings::{Change, Files};
 use site::unit::Revision;
 
-/// The settings that the platform holds.
+/// The settings in the platform's store.
 #[derive(Debug, Default)]
 pub(crate) struct Current {
-    /// Zero for none.
+    /// Revision of the settings; 0 if there are none.
     pub(crate) revision: Revision,
-    /// Their files.
+    /// Settings files by name.
     pub(crate) files: Files,
 }
 
-/// What applying a folder changes.
+/// Changes that applying a folder makes.
 #[derive(Debug, Display, Serialize)]
 #[display("{}", lines(changes))]
 pub(crate) struct Changes {
-    /// The revision that is changed.
+    /// Revision that the changes apply to.
     pub(crate) revision: Revision,
-    /// One line a change.
+    /// One line per change.
     pub(crate) changes: Vec<String>,
 }
 
-/// A client of the store.
+/// Creates a client for the store.
 pub(crate) fn open(args: &Platform) -> Result<Client, Error> {
     if args.platform.is_empty() {
         return Err(Error::Missing {
@@ -41,7 +41,7 @@
     Ok(Client::new(Options::new(args.platform.clone())))
 }
 
-/// Reads the settings.
+/// Reads the current settings.
 pub(crate) async fn current(store: &Client) -> Result<Current, Error> {
     let found = manifest::fetch(store, &Files::new()).await?;
     Ok(found.map_or_else(Current::default, |found| Current {
@@ -50,7 +50,7 @@
     }))
 }
 
-/// What turns the current settings into `files`.
+/// Returns the changes from the current settings to `files`.
 pub(crate) fn changes(current: &Current, files: &Files) -> Changes {
     let changes = settings::diff(&current.files, files);
     let changes = changes.iter().map(Change::to_string).collect();
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -10,10 +10,10 @@
 use derive_more::Display;
 use serde::Serialize;
 
-/// A job that goes on by itself.
+/// Result for a job that was submitted without waiting.
 #[derive(Debug, Display, Serialize)]
 #[display("{id}")]
-struct Begun {
+struct Started {
     id: String,
 }
 
@@ -26,7 +26,7 @@
     job.deadline = args.deadline.or(job.deadline);
     smol::block_on(async {
         match args.no_wait {
-            true => console.print(&Begun { id: client.begin(&job).await?.to_string() }),
+            true => console.print(&Started { id: client.start_job(&job).await?.to_string() }),
             false => console.print_json(&client.job(&job).await?),
         }
         Ok(Exit::Done)
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes and the errors behind them.
+//! Exit codes, and the errors that cause them.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error, From};
@@ -6,25 +6,25 @@
 use serde_json::{Value, json};
 use std::{io, process::ExitCode};
 
-/// What a command's end means to a script. The codes do not change.
+/// Exit code of a command. Scripts rely on the codes, so they do not change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
     /// A submission failed or a request was refused.
     Failed = 1,
     /// The command line is wrong.
     Usage = 2,
-    /// The settings are wrong.
+    /// The settings are invalid.
     Settings = 3,
     /// The platform or the entry can't be reached.
     Unreachable = 4,
-    /// Others have changed the settings.
+    /// The settings were changed by others meanwhile.
     Conflict = 5,
 }
 
 impl Exit {
-    /// The process's exit code.
+    /// Returns the numeric exit code.
     pub(crate) fn code(self) -> u8 {
         self as u8
     }
@@ -36,10 +36,10 @@
     }
 }
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum Error {
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[from]
     #[display("{_0}")]
     Settings(settings::Report),
@@ -47,15 +47,15 @@
     #[from]
     #[display("{_0}")]
     Platform(manifest::Error),
-    /// An entry refused, or did not answer.
+    /// An entry rejected a request or did not respond.
     #[from]
     #[display("{_0}")]
     Client(client::Error),
-    /// Certificates can't be made or read.
+    /// Certificates can't be created or read.
     #[from]
     #[display("{_0}")]
     Tls(link::tls::Error),
-    /// The demonstration can't run.
+    /// The demonstration failed.
     #[from]
     #[display("{_0}")]
     Demo(demo::Error),
@@ -63,37 +63,37 @@
     #[from]
     #[display("{_0}")]
     Log(telemetry::LogError),
-    /// A job in a file is wrong.
+    /// The job in a file is invalid.
     #[display("{path}: {source}; see docs/HTTP.md for the fields of a job")]
     Job {
-        /// The file, or `-`.
+        /// Path of the file, or `-` for standard input.
         path: CompactString,
-        /// What is wrong, with line and column.
+        /// Error of the JSON parser, with line and column.
         source: serde_json::Error,
     },
     /// A file or stream can't be read or written.
     #[display("{path}: {source}")]
     File {
-        /// Its path, or `-`.
+        /// Path of the file, or `-` for standard input.
         path: CompactString,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An argument is missing.
     #[display("{what} is not known; give --{option} or set {variable}")]
     #[from(skip)]
     Missing {
-        /// What.
+        /// Description of the missing value.
         what: &'static str,
-        /// The option.
+        /// Name of the option, without dashes.
         option: &'static str,
-        /// The environment variable.
+        /// Environment variable that can be set instead.
         variable: &'static str,
     },
 }
 
 impl Error {
-    /// The exit code that tells a script of it.
+    /// Returns the exit code for the error.
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Error::Settings(_) => Exit::Settings,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// What scripts get beside the text: the problem that an entry told, or the outcome.
+    /// Returns the details for scripts: the problem that an entry returned, or the outcome.
     pub(crate) fn detail(&self) -> Option<Value> {
         match self {
             Error::Client(client::Error::Problem(problem)) => serde_json::to_value(problem).ok(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of primrosestep.
+//! The program `primrosestep`, the command line for operators and callers.
 
 mod cli;
 mod cmd;
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -1,27 +1,27 @@
-//! Jobs and requests from the command line, against the demonstration's entries.
+//! Commands that call entries, against the entries of the demonstration.
 
 mod common;
 
 use common::{Folder, Run, run};
-use demo::{Options, World};
+use demo::{Deployment, Options};
 use standin::ledger::Step;
 use std::io;
 use telemetry::Level;
 
-/// Runs `test` in a world of two data centres.
-fn in_world(test: impl FnOnce(&World)) {
+/// Runs `test` in a deployment of two data centres.
+fn with_deployment(test: impl FnOnce(&Deployment)) {
     let (log, guard) = telemetry::start(io::sink(), Level::Info).unwrap();
     smol::block_on(async {
-        let world = World::start(Options { executors: 1 }, &log).await.unwrap();
-        test(&world);
-        world.stop().await;
+        let deployment = Deployment::start(Options { executors: 1 }, &log).await.unwrap();
+        test(&deployment);
+        deployment.stop().await;
     });
     drop(guard);
 }
 
-/// Runs `primrosestep` with `args` against all entries of `world`.
-fn call(world: &World, key: &str, args: &[&str]) -> Run {
-    let entries = world.entries().iter().map(|entry| entry.http().to_string());
+/// Runs `primrosestep` with `args` against all entries of `deployment`.
+fn call(deployment: &Deployment, key: &str, args: &[&str]) -> Run {
+    let entries = deployment.entries().iter().map(|entry| entry.http().to_string());
     let entries = entries.collect::<Vec<_>>().join(",");
     run(&[args, &["--json", "--entry", &entries, "--key", key]].concat())
 }
@@ -36,20 +36,20 @@
         ] }"#,
     );
     let job = format!("{}/job.json", folder.path());
-    in_world(|world| {
-        let submitted = call(world, "demo-firm", &["submit", &job]);
+    with_deployment(|deployment| {
+        let submitted = call(deployment, "demo-firm", &["submit", &job]);
         assert_eq!(submitted.code, 0, "{}", submitted.stderr);
         assert_eq!(submitted.json()["outputs"][1]["body"]["echo"], 1);
-        let begun = call(world, "demo-firm", &["submit", &job, "--no-wait"]);
-        let id = begun.json()["id"].as_str().unwrap().to_owned();
-        let fetched = call(world, "demo-firm", &["fetch", &id]);
+        let started = call(deployment, "demo-firm", &["submit", &job, "--no-wait"]);
+        let id = started.json()["id"].as_str().unwrap().to_owned();
+        let fetched = call(deployment, "demo-firm", &["fetch", &id]);
         assert_eq!(fetched.code, 0, "{}", fetched.stderr);
         assert_eq!(fetched.json()["id"], id);
-        let cancelled = call(world, "demo-firm", &["cancel", &id]);
+        let cancelled = call(deployment, "demo-firm", &["cancel", &id]);
         assert_eq!(cancelled.json()["id"], id, "too late to cancel");
-        assert_eq!(world.ledger().count(Step::Start), 4);
+        assert_eq!(deployment.ledger().count(Step::Start), 4);
         for what in ["config", "executors", "firms", "jobs", "peers"] {
-            let shown = call(world, "demo-operator", &["show", what]);
+            let shown = call(deployment, "demo-operator", &["show", what]);
             assert_eq!(shown.code, 0, "{what}: {}", shown.stderr);
             assert!(shown.json().is_object());
         }
@@ -61,15 +61,15 @@
     let folder = Folder::new();
     folder.write("body.json", r#"{"ms": 1}"#);
     let body = format!("{}/body.json", folder.path());
-    in_world(|world| {
-        let done = call(world, "demo-firm", &["request", "templating", &body]);
+    with_deployment(|deployment| {
+        let done = call(deployment, "demo-firm", &["request", "templating", &body]);
         assert_eq!((done.code, &done.json()["status"]), (0, &200.into()), "{}", done.stderr);
-        let unknown = call(world, "demo-firm", &["request", "baling", &body]);
+        let unknown = call(deployment, "demo-firm", &["request", "baling", &body]);
         assert_eq!(unknown.code, 1);
         assert!(unknown.stderr.contains(r#""outcome":"not-run""#), "{}", unknown.stderr);
-        let stranger = call(world, "nobody", &["request", "templating", &body]);
+        let stranger = call(deployment, "nobody", &["request", "templating", &body]);
         assert_eq!(stranger.code, 1, "{}", stranger.stderr);
-        let firm = call(world, "demo-firm", &["show", "config"]);
+        let firm = call(deployment, "demo-firm", &["show", "config"]);
         assert_eq!(firm.code, 1, "a firm's key is no operator's");
     });
 }
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_demonstration_holds_its_promises() {
+fn the_demonstration_keeps_its_guarantees() {
     let run = run(&["--json", "demo", "--tasks", "60", "--executors", "1"]);
     assert_eq!(run.code, 0, "{}", run.stderr);
     let summary = run.json();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn keys_fit_together() {
+fn generated_keys_and_certificates_match() {
     let folder = Folder::new();
     let made = run(&["--json", "keys", "authority", "--out", folder.path()]);
     assert_eq!(made.code, 0, "{}", made.stderr);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Running the command line.
+//! Runs the command line and prepares settings folders.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -9,7 +9,7 @@
     process::{Command, Output},
 };
 
-/// A run that has ended.
+/// Result of a finished run.
 pub(crate) struct Run {
     /// The exit code.
     pub(crate) code: i32,
@@ -20,7 +20,7 @@
 }
 
 impl Run {
-    /// The result as JSON.
+    /// Parses standard output as JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.stdout)
             .unwrap_or_else(|_| panic!("not JSON: {:?} {:?}", self.stdout, self.stderr))
@@ -41,11 +41,11 @@
     }
 }
 
-/// A folder that is removed when it is dropped.
+/// A temporary folder, removed on drop.
 pub(crate) struct Folder(PathBuf);
 
 impl Folder {
-    /// An empty folder.
+    /// Creates an empty folder.
     pub(crate) fn new() -> Folder {
         let name = format!("primrosestep-{}", uuid::Uuid::new_v4());
         let path = std::env::temp_dir().join(name);
@@ -53,7 +53,7 @@
         Folder(path)
     }
 
-    /// A copy of the sample settings called `name`.
+    /// Creates a copy of the sample settings called `name`.
     pub(crate) fn sample(name: &str) -> Folder {
         let folder = Folder::new();
         for file in fs::read_dir(Path::new("fixtures").join(name)).unwrap() {
@@ -63,12 +63,12 @@
         folder
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub(crate) fn path(&self) -> &str {
         self.0.to_str().unwrap()
     }
 
-    /// Writes a file.
+    /// Writes a file in the folder.
     pub(crate) fn write(&self, name: &str, text: &str) {
         fs::write(self.0.join(name), text).unwrap();
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Checking, comparing and applying folders of settings from the command line.
+//! Commands that check, compare and apply folders of settings.
 
 mod common;
 
 use common::{Folder, run};
 use standin::platform::Platform;
 
-/// A change that the sample allows.
+/// A valid change to the sample settings.
 const CHANGE: &str = r#"{ "services": { "templating": { "deadline": "12s" } } }"#;
 
 fn platform() -> (Platform, String) {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn samples_are_right() {
+fn sample_settings_are_valid() {
     for name in ["kovacik", "clydeside"] {
         let run = run(&["--json", "check", &format!("fixtures/{name}")]);
         assert_eq!(run.code, 0, "{}", run.stderr);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn wrong_settings_name_file_and_line() {
+fn errors_in_settings_report_file_and_line() {
     let run = run(&["check", "fixtures/bad/unknown-field"]);
     assert_eq!(run.code, 3);
     assert!(run.stderr.contains("20-change.json:"), "{}", run.stderr);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_slower_of_two_operators_is_told_what_changed() {
+fn a_conflicting_change_is_rejected_with_the_differences() {
     let (_platform, address) = platform();
     let apply = |folder: &Folder| run(&["--json", "apply", folder.path(), "--platform", &address]);
     let (one, other) = (Folder::sample("kovacik"), Folder::sample("kovacik"));
