--- a/components/endpoint/benches/call.rs
+++ b/components/endpoint/benches/call.rs
@@ -1,6 +1,6 @@
-//! Time of one call over loopback to the executor's stand-in with a task of no length: by this
-//! transport, and by `trillium-client` with its own pool. Calls follow each other on one
-//! connection. The two take turns in rounds, so that other load on the machine meets both.
+//! Latency of one call over loopback to the executor's stand-in with a task of zero length: with this
+//! transport, and with `trillium-client` and its own pool. Calls run one after another on one
+//! connection. The two alternate in rounds, so that other load on the host affects both.
 
 use endpoint::{
     Call, Reply, Transport,
@@ -20,13 +20,13 @@
 use trillium_client::{Client as Library, KnownHeaderName};
 use trillium_smol::ClientConfig;
 
-/// Rounds of each.
+/// Number of rounds of each client.
 const ROUNDS: usize = 20;
-/// Calls of one round.
+/// Number of calls in a round.
 const CALLS: usize = 250;
-/// Calls of each before the first round.
+/// Number of calls of each client before the first round.
 const WARM_UP: usize = 50;
-/// A task of no length.
+/// A task of zero length.
 const BODY: &str = r#"{"ms": 0}"#;
 
 fn call(address: SocketAddr) -> Call {
--- a/components/endpoint/src/call.rs
+++ b/components/endpoint/src/call.rs
@@ -10,14 +10,14 @@
 };
 use std::net::SocketAddr;
 
-/// One attempt to run a task. It is sent at most once.
+/// One attempt to run a task. Its request is sent at most once.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// Unique among the calls of this process.
     pub attempt: AttemptId,
     /// The task that the attempt runs.
     pub task: TaskId,
-    /// Where the endpoint accepts connections.
+    /// Address of the endpoint.
     pub address: SocketAddr,
     /// Whether the endpoint is an executor or a worker, which speak different protocols.
     pub place: Place,
@@ -25,14 +25,14 @@
     pub service: CompactString,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// Sent unchanged.
+    /// Body of the request, sent unchanged.
     pub body: Bytes,
-    /// What the task occupies; workers only.
+    /// Resources that the task occupies; only used for workers.
     pub needs: Resources,
-    /// Most time until the whole answer has arrived, waiting for a connection included.
+    /// Timeout until the whole response has arrived, including the wait for a connection.
     pub time_limit: Span,
-    /// Largest body of an answer.
+    /// Maximum size of the response body.
     pub body_limit: Memory,
-    /// Most connections that this process may hold to the endpoint; at least 1.
+    /// Maximum number of connections from this process to the endpoint; at least 1.
     pub connections: u32,
 }
--- a/components/endpoint/src/class.rs
+++ b/components/endpoint/src/classify.rs
@@ -1,71 +1,71 @@
-//! Decides what is known about an attempt. Nothing else in this crate makes a [`Reply`].
+//! Classifies the end of a call: what is known about the attempt. All [`Reply`] values are created here.
 
 use crate::{
     Loss, Refusal, Reply, Unsent,
-    http::{Answer, Meter},
+    http::{Meter, Response},
     protocol::{Token, outcome, refusal},
 };
 use site::submission::Output;
 use std::io::{self, ErrorKind};
 use trillium_client::Error;
 
-/// Status 429: the endpoint has no room.
+/// Status 429: the endpoint has no free capacity.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Status 503: the endpoint has no room, or is shutting down.
+/// Status 503: the endpoint has no free capacity, or is shutting down.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// Status 409: the worker has seen the attempt.
+/// Status 409: the worker has received the attempt before.
 const CONFLICT: u16 = 409;
 /// Status 410: the worker has stopped the task.
 const GONE: u16 = 410;
-/// The smallest status that means a failure of the endpoint.
-const FIRST_FAILURE: u16 = 500;
+/// The smallest status that means that the task failed.
+const MIN_FAILURE_STATUS: u16 = 500;
 
-/// Why a request has no whole answer.
+/// Why a request has no complete response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Failure {
-    /// Nothing of the request left.
+    /// No byte of the request was sent.
     Unsent(Unsent),
-    /// Part of the request left.
+    /// Part of the request was sent.
     Lost(Loss),
-    /// Part of the request left, and the operating system got no sign of life from the other end.
-    /// Whether the endpoint is dead, or only this connection, is not known.
+    /// Part of the request was sent, and the operating system received no packet from the peer. It is
+    /// not known whether the endpoint is dead or only this connection.
     Dead,
 }
 
-/// Checks that an answer that names an attempt names this one.
-pub(crate) fn attempt(answer: &Answer, token: Token) -> Result<(), Failure> {
-    match answer.attempt.as_deref().map(str::parse) {
+/// Checks that a response that names an attempt names this one.
+pub(crate) fn attempt(response: &Response, token: Token) -> Result<(), Failure> {
+    match response.attempt.as_deref().map(str::parse) {
         None => Ok(()),
         Some(Ok(named)) if token == named => Ok(()),
         Some(_) => Err(Failure::Lost(Loss::Mismatch)),
     }
 }
 
-/// What a whole answer says.
-pub(crate) fn answer(answer: Answer) -> Reply {
-    match (answer.status, answer.outcome.as_deref()) {
-        (TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE, Some(outcome::NOT_RUN)) => refused(&answer),
+/// Classifies a complete response.
+pub(crate) fn response(response: Response) -> Reply {
+    match (response.status, response.outcome.as_deref()) {
+        (TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE, Some(outcome::NOT_RUN)) => refused(&response),
         (CONFLICT, Some(outcome::REPEATED)) => Reply::Lost(Loss::Repeated),
         (GONE, Some(outcome::STOPPED)) => Reply::Lost(Loss::Stopped),
-        (status, _) if status >= FIRST_FAILURE => Reply::Failed(output(answer)),
-        _ => Reply::Done(output(answer)),
+        (status, _) if status >= MIN_FAILURE_STATUS => Reply::Failed(output(response)),
+        _ => Reply::Done(output(response)),
     }
 }
 
-fn refused(answer: &Answer) -> Reply {
-    let reason = match answer.refusal.as_deref() {
+fn refused(response: &Response) -> Reply {
+    let reason = match response.refusal.as_deref() {
         Some(refusal::BUSY) => Refusal::Busy,
         Some(refusal::LEAVING) => Refusal::Leaving,
         _ => Refusal::Other,
     };
-    Reply::Refused { reason, retry_after: answer.retry_after }
+    Reply::Refused { reason, retry_after: response.retry_after }
 }
 
-fn output(answer: Answer) -> Output {
-    Output { status: answer.status, content_type: answer.content_type, body: answer.body }
+fn output(response: Response) -> Output {
+    Output { status: response.status, content_type: response.content_type, body: response.body }
 }
 
-/// What a failed connect says. Nothing was written.
+/// Classifies a failed connect. No byte was sent.
 pub(crate) fn connect(error: &io::Error) -> Unsent {
     match error.kind() {
         ErrorKind::ConnectionRefused => Unsent::ConnectRefused,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What an error before the end of the answer's head says.
+/// Classifies an error before the end of the response head.
 pub(crate) fn head(error: &Error, meter: &Meter) -> Failure {
     match error {
         Error::MalformedHeader(_) | Error::UnexpectedUriFormat if !meter.sent() => {
@@ -91,7 +91,7 @@
     }
 }
 
-/// What an error within the answer's body says.
+/// Classifies an error in the response body.
 pub(crate) fn body(error: &io::Error) -> Failure {
     match error.kind() {
         _ if is_dead(error) => Failure::Dead,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Whether the operating system gave up on the connection for lack of any packet.
+/// Whether the operating system closed the connection because no packet arrived.
 fn is_dead(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -109,7 +109,7 @@
     )
 }
 
-/// What a request that failed says. `alive` tells whether the endpoint answered a probe after
+/// Classifies a failed request. `alive` is whether the endpoint responded to a probe after
 /// [`Failure::Dead`].
 pub(crate) fn failure(failure: Failure, alive: bool) -> Reply {
     match failure {
@@ -120,7 +120,7 @@
     }
 }
 
-/// What the end of the time limit says.
+/// Classifies a timeout.
 pub(crate) fn timeout(meter: &Meter) -> Reply {
     match (meter.sent(), meter.connected()) {
         (true, _) => Reply::TimedOut,
@@ -129,7 +129,7 @@
     }
 }
 
-/// What a silent request says whose endpoint is alive on other connections.
+/// Classifies a request on an unresponsive connection whose endpoint responds on other connections.
 pub(crate) fn silence(verdict: Verdict) -> Reply {
     match verdict {
         Verdict::DeadConnection => Reply::Lost(Loss::SilentConnection),
@@ -137,11 +137,11 @@
     }
 }
 
-/// The end of a silent request.
+/// Result for a request on an unresponsive connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Verdict {
-    /// The endpoint is alive, and this connection is not.
+    /// The endpoint is alive, but this connection is dead.
     DeadConnection,
-    /// The worker says that the attempt did not start and never will.
+    /// The worker reports that the attempt did not start and never will.
     NeverRuns,
 }
--- a/components/endpoint/src/http/client.rs
+++ b/components/endpoint/src/http/client.rs
@@ -1,10 +1,10 @@
-//! The transport itself.
+//! The transport for calls to endpoints over HTTP/1.1.
 
 use crate::{
     Call, Probe, Reply, Report, Stop, Transport, Unsent, Usage,
-    class::{self, Failure},
+    classify::{self, Failure},
     http::{
-        Answer, Meter, Options, Request,
+        Meter, Options, Request, Response,
         connection::Connection,
         host::{Host, Hosts},
         watch,
@@ -39,7 +39,7 @@
 }
 
 impl Client {
-    /// A transport for the process `incarnation`. Idle connections are closed by a task on the
+    /// Returns a transport for the process `incarnation`. Idle connections are closed by a task on the
     /// global executor of `smol`.
     pub fn new(incarnation: Incarnation, options: Options) -> Client {
         let inner = Arc::new(Inner { incarnation, options, hosts: Hosts::default() });
@@ -67,7 +67,7 @@
 
     async fn probe(&self, address: SocketAddr) -> Probe {
         match self.inner.health(address, None).await {
-            Ok(answer) => Probe::Alive { leaving: answer.leaving },
+            Ok(response) => Probe::Alive { leaving: response.leaving },
             Err(Failure::Unsent(why)) => Probe::Unreachable(why),
             Err(Failure::Lost(_) | Failure::Dead) => Probe::Silent,
         }
@@ -85,12 +85,12 @@
         let exchange = self.exchange(&host, call, &request, meter);
         let watched = async {
             let verdict = watch::run(self, &host, call, meter).await;
-            host.condemn();
-            (class::silence(verdict), false)
+            host.retire();
+            (classify::silence(verdict), false)
         };
         let timeout = async {
             Timer::after(duration(call.time_limit)).await;
-            (class::timeout(meter), false)
+            (classify::timeout(meter), false)
         };
         exchange.or(watched).or(timeout).await
     }
@@ -103,28 +103,28 @@
         meter: &Arc<Meter>,
     ) -> (Reply, bool) {
         match self.send(host, call, request, meter).await {
-            Ok(answer) => {
-                let leaving = answer.leaving;
-                (class::answer(answer), leaving)
+            Ok(response) => {
+                let leaving = response.leaving;
+                (classify::response(response), leaving)
             }
             Err(Failure::Dead) => {
-                host.condemn();
+                host.retire();
                 let alive = self.health(host.address, None).await.is_ok();
-                (class::failure(Failure::Dead, alive), false)
+                (classify::failure(Failure::Dead, alive), false)
             }
-            Err(failure) => (class::failure(failure, false), false),
+            Err(failure) => (classify::failure(failure, false), false),
         }
     }
 
-    /// Sends a request over a connection of the host; over another one as long as nothing was
-    /// written.
+    /// Sends the request over a pooled connection. Uses another one if the first was closed before any
+    /// byte was sent.
     async fn send(
         &self,
         host: &Arc<Host>,
         call: &Call,
         request: &Request,
         meter: &Arc<Meter>,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let connections = call.connections;
         loop {
             let mut connection = host
@@ -134,11 +134,11 @@
             let is_new = connection.opened == connection.idle_since;
             match connection.exchange(request, meter).await {
                 Ok(exchange) => {
-                    class::attempt(&exchange.answer, self.token(call.attempt))?;
+                    classify::attempt(&exchange.response, self.token(call.attempt))?;
                     if exchange.reusable {
                         host.release(connection, connections);
                     }
-                    return Ok(exchange.answer);
+                    return Ok(exchange.response);
                 }
                 Err(Failure::Unsent(Unsent::Closed)) if !is_new => {}
                 Err(failure) => return Err(failure),
@@ -182,12 +182,12 @@
         self.hosts.get(address)
     }
 
-    /// Asks over a new connection for the endpoint's health and the state of an attempt.
+    /// Requests the endpoint's health and the state of an attempt over a new connection.
     pub(crate) async fn health(
         &self,
         address: SocketAddr,
         attempt: Option<Token>,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let meter = Arc::new(Meter::new());
         let mut request = Request::control(Method::Get, url(address, [protocol::HEALTH_PATH]));
         request.headers.extend(attempt.map(|token| (protocol::ATTEMPT, token.to_string())));
@@ -195,7 +195,7 @@
             let mut connection =
                 Connection::open(address, None, &self.options).await.map_err(Failure::Unsent)?;
             let exchange = connection.exchange(&request, &meter).await?;
-            Ok(exchange.answer)
+            Ok(exchange.response)
         };
         exchange.or(control_timeout(&self.options)).await
     }
@@ -209,7 +209,7 @@
     }
 }
 
-/// Ends a control request whose answer takes too long.
+/// Returns an error after the timeout of control requests.
 pub(crate) async fn control_timeout<T>(options: &Options) -> Result<T, Failure> {
     Timer::after(duration(options.control_timeout)).await;
     Err(Failure::Dead)
@@ -219,7 +219,7 @@
     Duration::from_micros(span.0)
 }
 
-/// A URL whose path has these segments, which are escaped.
+/// Returns a URL whose path has these segments, percent-encoded.
 pub(crate) fn url<'a>(address: SocketAddr, segments: impl IntoIterator<Item = &'a str>) -> Url {
     let mut url: Url = format!("http://{address}/").parse().expect("an address is a host");
     let mut path = url.path_segments_mut().expect("an http URL has a path");
@@ -229,7 +229,7 @@
     url
 }
 
-/// The URL of a task on a worker, or of an action on it.
+/// Returns the URL of a task on a worker, or of an action on that task.
 pub(crate) fn task_url(address: SocketAddr, token: Token, action: Option<&str>) -> Url {
     let token = token.to_string();
     let segments = protocol::TASKS_PATH.split('/').chain([token.as_str()]).chain(action);
--- a/components/endpoint/src/http/control.rs
+++ b/components/endpoint/src/http/control.rs
@@ -1,12 +1,12 @@
-//! Requests to workers beside the tasks: lease renewals, stops and usage. All requests to one
-//! worker share one connection, which does not count among the connections for tasks: these may
-//! all be in use for as long as a lease lasts.
+//! Control requests to workers: lease renewals, stops and usage. All control requests to one worker
+//! share one connection outside the pool, since all connections of the pool may be in use for longer
+//! than a lease lasts.
 
 use crate::{
     Stop, Usage,
-    class::Failure,
+    classify::Failure,
     http::{
-        Answer, Meter, Request,
+        Meter, Request, Response,
         client::{Inner, control_timeout, task_url, url},
         connection::Connection,
         host::Host,
@@ -18,16 +18,16 @@
 use std::sync::Arc;
 use trillium_client::Method;
 
-/// What a worker says about an attempt.
+/// State of an attempt, as an endpoint reports it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum State {
-    /// The worker has not received it.
+    /// The endpoint has not received the attempt.
     Unknown,
-    /// It runs.
+    /// The attempt runs.
     Running,
-    /// It has ended.
+    /// The attempt has ended.
     Ended,
-    /// It will never start.
+    /// The attempt will never start.
     Never,
 }
 
@@ -43,26 +43,26 @@
     }
 }
 
-/// Body of a worker's answer about an attempt.
+/// Body of a worker's response about an attempt.
 #[derive(Deserialize)]
 struct Status {
     state: String,
 }
 
 impl Inner {
-    /// Renews the lease of an attempt. `None` if the worker does not answer.
+    /// Renews the lease of an attempt. Returns `None` if the worker does not respond.
     pub(crate) async fn renew(&self, host: &Host, token: Token) -> Option<State> {
         let url = task_url(host.address, token, Some("renew"));
         let mut request = Request::control(Method::Post, url);
         request.headers.push((protocol::LEASE, self.options.lease.to_string()));
-        let answer = self.control(host, &request).await.ok()?;
-        status(&answer)
+        let response = self.control(host, &request).await.ok()?;
+        status(&response)
     }
 
     pub(crate) async fn stop(&self, host: &Host, token: Token) -> Stop {
         let request = Request::control(Method::Delete, task_url(host.address, token, None));
-        let answer = self.control(host, &request).await.ok();
-        match answer.as_ref().and_then(status) {
+        let response = self.control(host, &request).await.ok();
+        match response.as_ref().and_then(status) {
             Some(State::Never) => Stop::NeverRuns,
             Some(State::Running) => Stop::Stopped,
             Some(State::Ended) => Stop::Ended,
@@ -72,12 +72,12 @@
 
     pub(crate) async fn usage(&self, host: &Host) -> Option<Usage> {
         let url = url(host.address, protocol::USAGE_PATH.split('/'));
-        let answer = self.control(host, &Request::control(Method::Get, url)).await.ok()?;
-        serde_json::from_slice(&answer.body).ok()
+        let response = self.control(host, &Request::control(Method::Get, url)).await.ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 
-    /// Sends a control request, which may be repeated: all of them are idempotent.
-    async fn control(&self, host: &Host, request: &Request) -> Result<Answer, Failure> {
+    /// Sends a control request. All control requests are idempotent and may be repeated.
+    async fn control(&self, host: &Host, request: &Request) -> Result<Response, Failure> {
         let attempt = async {
             let mut slot = host.control.lock().await;
             let mut connection = match slot.take() {
@@ -90,13 +90,13 @@
             if exchange.reusable {
                 *slot = Some(connection);
             }
-            Ok(exchange.answer)
+            Ok(exchange.response)
         };
         attempt.or(control_timeout(&self.options)).await
     }
 }
 
-fn status(answer: &Answer) -> Option<State> {
-    let status: Status = serde_json::from_slice(&answer.body).ok()?;
+fn status(response: &Response) -> Option<State> {
+    let status: Status = serde_json::from_slice(&response.body).ok()?;
     State::parse(&status.state)
 }
--- a/components/endpoint/src/http/host.rs
+++ b/components/endpoint/src/http/host.rs
@@ -1,4 +1,4 @@
-//! The connections to one endpoint.
+//! Connection pools, one per endpoint.
 
 use crate::{
     http::{Options, connection::Connection},
@@ -13,12 +13,12 @@
     time::{Duration, Instant},
 };
 
-/// All endpoints that connections were opened to.
+/// The connection pools of all endpoints, by address.
 #[derive(Debug, Default)]
 pub(crate) struct Hosts(RwLock<FxHashMap<SocketAddr, Arc<Host>>>);
 
 impl Hosts {
-    /// The endpoint at `address`.
+    /// Returns the pool for `address`, and creates it if there is none.
     pub(crate) fn get(&self, address: SocketAddr) -> Arc<Host> {
         if let Some(host) = self.0.read().get(&address) {
             return Arc::clone(host);
@@ -28,7 +28,7 @@
         Arc::clone(host)
     }
 
-    /// Closes connections that were not used for `limit` and forgets hosts without any.
+    /// Closes connections that were idle for `limit`, and removes pools without connections.
     pub(crate) fn sweep(&self, limit: Duration) {
         let hosts: Vec<_> = self.0.read().values().cloned().collect();
         let unused = |host: &Arc<Host>| !host.sweep(limit);
@@ -38,7 +38,7 @@
         }
         let mut hosts = self.0.write();
         for host in unused {
-            // One reference here and one in the map: nobody is about to use it.
+            // Only this list and the map have references, so no request is about to use it.
             if Arc::strong_count(&host) == 2 {
                 hosts.remove(&host.address);
             }
@@ -47,48 +47,48 @@
 }
 
 impl Drop for Hosts {
-    /// Idle connections refer back to their host.
+    /// Breaks reference cycles: idle connections have a reference to their host.
     fn drop(&mut self) {
-        self.0.get_mut().values().for_each(|host| host.condemn());
+        self.0.get_mut().values().for_each(|host| host.retire());
     }
 }
 
-/// The connections to one endpoint.
+/// The connection pool of one endpoint.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) address: SocketAddr,
     state: Mutex<State>,
-    /// Notified when a seat becomes free or a connection idle.
+    /// Notified when a permit is released or a connection becomes idle.
     freed: Event,
-    /// Renews leases and stops attempts, beside the connections that carry tasks. Locked for one
-    /// request at a time.
+    /// Connection for control requests, which is not part of the pool. Locked for one request at a
+    /// time.
     pub(crate) control: smol::lock::Mutex<Option<Connection>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Seats taken, by connections in use, idle or being opened.
-    seats: u32,
-    /// Connections without a request, the latest used last.
+    /// Number of permits held by connections that are in use, idle or being opened.
+    permits: u32,
+    /// Connections without a request, the most recently used one last.
     idle: Vec<Connection>,
-    /// Connections opened before this moment carry no further request.
-    condemned: Option<Instant>,
+    /// Connections opened before this time are not used for further requests.
+    retired_at: Option<Instant>,
 }
 
-/// The right to hold one connection to an endpoint. Dropping it gives the right back.
+/// Permit for one connection to an endpoint. Dropping it releases the permit.
 #[derive(Debug)]
-pub(crate) struct Seat(Arc<Host>);
+pub(crate) struct Permit(Arc<Host>);
 
-impl Drop for Seat {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.0.state.lock().seats -= 1;
+        self.0.state.lock().permits -= 1;
         self.0.freed.notify(1);
     }
 }
 
-enum Place {
+enum Acquired {
     Idle(Box<Connection>),
-    Free(Seat),
+    New(Permit),
 }
 
 impl Host {
@@ -101,21 +101,22 @@
         })
     }
 
-    /// An open connection without a request, waiting for one if `limit` are open.
+    /// Returns an idle or new connection; waits if `limit` connections are open. Calls
+    /// `on_acquired` when it has obtained a connection or a permit, before it connects.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         limit: u32,
         options: &Options,
-        on_place: impl Fn(),
+        on_acquired: impl Fn(),
     ) -> Result<Connection, Unsent> {
         loop {
-            let place = self.place(limit).await;
-            on_place();
-            match place {
-                Place::Free(seat) => {
-                    return Connection::open(self.address, Some(seat), options).await;
+            let acquired = self.acquire_permit(limit).await;
+            on_acquired();
+            match acquired {
+                Acquired::New(permit) => {
+                    return Connection::open(self.address, Some(permit), options).await;
                 }
-                Place::Idle(connection) => {
+                Acquired::Idle(connection) => {
                     if !connection.is_stale() {
                         return Ok(*connection);
                     }
@@ -124,35 +125,35 @@
         }
     }
 
-    async fn place(self: &Arc<Self>, limit: u32) -> Place {
+    async fn acquire_permit(self: &Arc<Self>, limit: u32) -> Acquired {
         loop {
-            if let Some(place) = self.try_place(limit) {
-                return place;
+            if let Some(acquired) = self.try_acquire(limit) {
+                return acquired;
             }
             let freed = self.freed.listen();
-            if let Some(place) = self.try_place(limit) {
-                return place;
+            if let Some(acquired) = self.try_acquire(limit) {
+                return acquired;
             }
             freed.await;
         }
     }
 
-    fn try_place(self: &Arc<Self>, limit: u32) -> Option<Place> {
+    fn try_acquire(self: &Arc<Self>, limit: u32) -> Option<Acquired> {
         let mut state = self.state.lock();
         if let Some(connection) = state.idle.pop() {
-            return Some(Place::Idle(Box::new(connection)));
+            return Some(Acquired::Idle(Box::new(connection)));
         }
-        (state.seats < limit.max(1)).then(|| {
-            state.seats += 1;
-            Place::Free(Seat(Arc::clone(self)))
+        (state.permits < limit.max(1)).then(|| {
+            state.permits += 1;
+            Acquired::New(Permit(Arc::clone(self)))
         })
     }
 
-    /// Keeps a connection for the next request, unless more than `limit` are open.
+    /// Returns a connection to the pool, or closes it if more than `limit` are open.
     pub(crate) fn release(&self, connection: Connection, limit: u32) {
         let mut state = self.state.lock();
-        let condemned = state.condemned.is_some_and(|moment| connection.opened <= moment);
-        if condemned || state.seats > limit.max(1) {
+        let retired = state.retired_at.is_some_and(|moment| connection.opened <= moment);
+        if retired || state.permits > limit.max(1) {
             drop(state);
             return;
         }
@@ -161,21 +162,21 @@
         self.freed.notify(1);
     }
 
-    /// Lets no connection that is open now carry a further request.
-    pub(crate) fn condemn(&self) {
+    /// Retires all open connections: they are not used for further requests.
+    pub(crate) fn retire(&self) {
         let mut state = self.state.lock();
-        state.condemned = Some(Instant::now());
+        state.retired_at = Some(Instant::now());
         let idle = std::mem::take(&mut state.idle);
         drop(state);
         drop(idle);
     }
 
-    /// Closes connections that were not used for `limit`. Returns whether any are left.
+    /// Closes connections that were idle for `limit`. Returns whether any are left.
     pub(crate) fn sweep(&self, limit: Duration) -> bool {
         let mut state = self.state.lock();
         let is_fresh = |connection: &mut Connection| connection.idle_since.elapsed() < limit;
         let old: Vec<_> = state.idle.extract_if(.., |connection| !is_fresh(connection)).collect();
-        let any = state.seats > old.len() as u32;
+        let any = state.permits > old.len() as u32;
         drop(state);
         drop(old);
         any || self.sweep_control(limit)
--- a/components/endpoint/src/http/message.rs
+++ b/components/endpoint/src/http/message.rs
@@ -1,4 +1,4 @@
-//! Requests to endpoints and their answers, as HTTP carries them.
+//! HTTP requests to endpoints and their responses.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -7,24 +7,24 @@
 
 use crate::protocol;
 
-/// Largest body of an answer to a control request.
+/// Maximum size of the response body of a control request.
 const CONTROL_BODY_LIMIT: Memory = Memory(1 << 20);
 
-/// A request.
+/// An HTTP request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) method: Method,
     pub(crate) url: Url,
     pub(crate) headers: Vec<(&'static str, String)>,
-    /// Media type of the body; none if empty.
+    /// Media type of the body; no header if empty.
     pub(crate) content_type: CompactString,
     pub(crate) body: Bytes,
-    /// Largest body of the answer.
+    /// Maximum size of the response body.
     pub(crate) body_limit: Memory,
 }
 
 impl Request {
-    /// A request without a body.
+    /// Returns a request without headers and body, with the limit of control requests.
     pub(crate) fn control(method: Method, url: Url) -> Self {
         Request {
             method,
@@ -37,9 +37,9 @@
     }
 }
 
-/// A whole answer.
+/// A complete HTTP response.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) content_type: CompactString,
     pub(crate) body: Bytes,
@@ -51,16 +51,16 @@
     pub(crate) refusal: Option<CompactString>,
     /// The header [`protocol::ATTEMPT_STATE`].
     pub(crate) state: Option<CompactString>,
-    /// The header `Retry-After`, if it is a number of seconds.
+    /// The header `Retry-After` if it is a number of seconds.
     pub(crate) retry_after: Option<Span>,
-    /// The header [`protocol::LEAVING`] is set.
+    /// Whether the header [`protocol::LEAVING`] is set.
     pub(crate) leaving: bool,
 }
 
-impl Answer {
+impl Response {
     pub(crate) fn new(status: u16, headers: &Headers, body: Bytes) -> Self {
         let text = |name: &'static str| headers.get_str(name).map(CompactString::from);
-        Answer {
+        Response {
             status,
             content_type: headers
                 .get_str(KnownHeaderName::ContentType)
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether the status says success.
+    /// Whether the status is 2xx.
     pub(crate) fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
--- a/components/endpoint/src/http/meter.rs
+++ b/components/endpoint/src/http/meter.rs
@@ -1,4 +1,4 @@
-//! What is known about the progress of one request.
+//! Progress of one request.
 
 use std::{
     sync::atomic::{AtomicBool, AtomicU64, Ordering},
@@ -9,18 +9,18 @@
 /// which reads it.
 #[derive(Debug)]
 pub(crate) struct Meter {
-    /// When the request was made.
+    /// Time when the call began.
     started: Instant,
-    /// Bytes of the request that the operating system accepted. Once above zero the endpoint may
-    /// have received the request.
+    /// Number of bytes of the request that the operating system has accepted. If it is above zero, the
+    /// endpoint may have received the request.
     written: AtomicU64,
-    /// Microseconds from `started` to the latest byte in either direction.
+    /// Microseconds from `started` to the last byte in either direction.
     latest: AtomicU64,
-    /// A connection was obtained.
+    /// Whether a connection was obtained.
     connected: AtomicBool,
-    /// Every byte of the request was accepted.
+    /// Whether the operating system has accepted the whole request.
     complete: AtomicBool,
-    /// The answer has version HTTP/1.1, whose connections stay open unless it says otherwise.
+    /// Whether the response has version HTTP/1.1, whose connections are persistent by default.
     persistent: AtomicBool,
 }
 
@@ -61,7 +61,7 @@
         self.persistent.store(true, Ordering::Release);
     }
 
-    /// Whether any byte of the request may have left.
+    /// Whether any byte of the request may have been sent.
     pub(crate) fn sent(&self) -> bool {
         self.written.load(Ordering::Acquire) > 0
     }
@@ -71,23 +71,23 @@
         self.connected.load(Ordering::Acquire)
     }
 
-    /// Whether the whole request was accepted.
+    /// Whether the whole request was written.
     pub(crate) fn complete(&self) -> bool {
         self.complete.load(Ordering::Acquire)
     }
 
-    /// Whether the answer has version HTTP/1.1.
+    /// Whether the response has version HTTP/1.1.
     pub(crate) fn persistent(&self) -> bool {
         self.persistent.load(Ordering::Acquire)
     }
 
-    /// Time since the latest byte.
+    /// Returns the time since the last byte in either direction.
     pub(crate) fn silence(&self) -> Duration {
         let latest = Duration::from_micros(self.latest.load(Ordering::Acquire));
         self.started.elapsed().saturating_sub(latest)
     }
 
-    /// Time since the request was made.
+    /// Returns the time since the call began.
     pub(crate) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
--- a/components/endpoint/src/http/mod.rs
+++ b/components/endpoint/src/http/mod.rs
@@ -1,6 +1,5 @@
-//! Calls over HTTP/1.1 with connections that are kept open.
+//! HTTP/1.1 transport with connection pools.
 
-mod caller;
 mod client;
 mod connection;
 mod control;
@@ -8,12 +7,13 @@
 mod message;
 mod meter;
 mod options;
+mod raw;
 mod stream;
 mod watch;
 
-pub use caller::{Ask, Caller, Failed, Reply};
 pub use client::Client;
 pub use options::Options;
+pub use raw::{RawClient, RawRequest, RawResponse, RequestError};
 
-pub(crate) use message::{Answer, Request};
+pub(crate) use message::{Request, Response};
 pub(crate) use meter::Meter;
--- a/components/endpoint/src/http/options.rs
+++ b/components/endpoint/src/http/options.rs
@@ -1,29 +1,31 @@
-//! Limits of the HTTP transport.
+//! Timeouts of the HTTP transport.
 
 use serde::{Deserialize, Serialize};
 use site::unit::Span;
 
-/// Limits of the HTTP transport. The defaults suit tasks of 50 ms to a few seconds.
+/// Timeouts of the HTTP transport. The defaults are for tasks of 50 ms to a few seconds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Options {
-    /// Most time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Span,
-    /// Most time for a health request, a lease renewal or a stop, connecting included.
+    /// Timeout of a health request, a lease renewal, a stop or a usage request, including the time to
+    /// connect.
     pub control_timeout: Span,
-    /// An unused connection is closed after this time. Should be shorter than the endpoints' own
-    /// limit: a connection that they close while a request is on its way loses the request.
+    /// Time after which an idle connection is closed. Should be shorter than the endpoints' own idle
+    /// timeout: a request is lost if the endpoint closes the connection while it is in flight.
     pub idle_limit: Span,
-    /// A connection whose request moved no byte for this time is suspect.
+    /// Time without a byte after which the connection of a request is checked.
     pub silence: Span,
-    /// After this time without a byte, a request is lost if its endpoint answers health requests
-    /// but does not say what became of the attempt. Should be longer than any task.
+    /// Time without a byte after which a request counts as lost if its endpoint responds to health
+    /// requests but does not report the state of the attempt. Should be longer than any task.
     pub give_up: Span,
-    /// Duration of a lease on a worker's task. Renewed after each third of it.
+    /// Duration of the lease on a worker's task, which is renewed after each third of it.
     pub lease: Span,
-    /// A connection without traffic for this time is tested by the operating system.
+    /// Time without traffic after which the operating system sends TCP keep-alive probes.
     pub keep_alive: Span,
-    /// The operating system closes a connection whose bytes stay unacknowledged for this time.
+    /// Time after which the operating system closes a connection with unacknowledged bytes
+    /// (`TCP_USER_TIMEOUT`).
     pub acknowledge: Span,
 }
 
--- a/components/endpoint/src/http/stream.rs
+++ b/components/endpoint/src/http/stream.rs
@@ -1,9 +1,8 @@
-//! The byte stream that the HTTP library sees for one request.
+//! The byte stream that the HTTP library uses for one request.
 //!
-//! It stands between `trillium-client` and the socket for three reasons. It counts the bytes of
-//! the request that left. It sends head and body in one write, where the library would wait for
-//! `100 Continue` between them, a round trip more for each task. And it rejects status lines on
-//! which the library would panic.
+//! It wraps the socket for three reasons. It counts the bytes of the request that were sent. It sends
+//! head and body in one write, while the library would wait for `100 Continue` between them, which
+//! costs each task one more round trip. And it rejects status lines on which the library would panic.
 
 use crate::http::meter::Meter;
 use bytes::{Buf, Bytes};
@@ -21,11 +20,11 @@
 use trillium_client::Status;
 
 /// Length of `HTTP/1.1 200`.
-const STATUS_LINE: usize = 12;
-/// The smallest status of a final answer.
-const FIRST_FINAL: u16 = 200;
+const STATUS_LINE_LEN: usize = 12;
+/// The smallest status of a final response.
+const MIN_FINAL_STATUS: u16 = 200;
 
-/// One request's view of its connection. Dropping it leaves the connection open.
+/// The stream of one request on a connection. Dropping it leaves the connection open.
 #[derive(Debug)]
 pub(crate) struct Stream {
     tcp: TcpStream,
@@ -34,17 +33,17 @@
     head: Vec<u8>,
     /// Bytes of the body that the socket has not accepted.
     body: Bytes,
-    /// The beginning of the answer, until it is long enough to check.
+    /// The start of the response, until it is long enough to check.
     status_line: Vec<u8>,
 }
 
 impl Stream {
     pub(crate) fn new(tcp: TcpStream, body: Bytes, meter: Arc<Meter>) -> Self {
-        let status_line = Vec::with_capacity(STATUS_LINE);
+        let status_line = Vec::with_capacity(STATUS_LINE_LEN);
         Stream { tcp, meter, head: Vec::new(), body, status_line }
     }
 
-    /// Hands what is left of the request to the socket.
+    /// Writes the rest of the request to the socket.
     fn poll_send(&mut self, cx: &mut Context<'_>) -> Poll<Result<()>> {
         while !self.head.is_empty() || !self.body.is_empty() {
             let slices = [IoSlice::new(&self.head), IoSlice::new(&self.body)];
@@ -53,32 +52,32 @@
                 return Poll::Ready(Err(ErrorKind::WriteZero.into()));
             }
             self.meter.add_written(count);
-            let of_head = count.min(self.head.len());
-            self.head.drain(..of_head);
-            self.body.advance(count - of_head);
+            let head_bytes = count.min(self.head.len());
+            self.head.drain(..head_bytes);
+            self.body.advance(count - head_bytes);
         }
         self.meter.set_complete();
         Poll::Ready(Ok(()))
     }
 
-    /// Checks the status line once it is whole: the library knows only registered statuses, and
-    /// takes an interim answer for a final one.
+    /// Checks the status line once it is complete: the library supports only registered statuses, and
+    /// treats an interim response as the final one.
     fn check_status(&mut self, bytes: &[u8]) -> Result<()> {
-        if self.status_line.len() == STATUS_LINE {
+        if self.status_line.len() == STATUS_LINE_LEN {
             return Ok(());
         }
-        let wanted = STATUS_LINE - self.status_line.len();
+        let missing = STATUS_LINE_LEN - self.status_line.len();
         let blank = self.status_line.is_empty();
         let line = bytes.iter().skip_while(|byte| blank && matches!(byte, b'\r' | b'\n'));
-        self.status_line.extend(line.take(wanted));
-        if self.status_line.len() < STATUS_LINE {
+        self.status_line.extend(line.take(missing));
+        if self.status_line.len() < STATUS_LINE_LEN {
             return Ok(());
         }
         let known = std::str::from_utf8(&self.status_line)
             .ok()
             .and_then(|line| line.split_once(' '))
             .and_then(|(_, code)| code.parse::<u16>().ok())
-            .is_some_and(|code| code >= FIRST_FINAL && Status::try_from(code).is_ok());
+            .is_some_and(|code| code >= MIN_FINAL_STATUS && Status::try_from(code).is_ok());
         if !known {
             return Err(ErrorKind::InvalidData.into());
         }
@@ -95,7 +94,7 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<Result<usize>> {
-        // An endpoint may answer before it has read the whole request, and then close.
+        // An endpoint may respond before it has read the whole request, and then close the connection.
         let sent = self.poll_send(cx);
         let count = match (Pin::new(&mut self.tcp).poll_read(cx, buf), sent) {
             (Poll::Ready(Ok(count)), _) if count > 0 => count,
@@ -134,19 +133,19 @@
     }
 }
 
-/// Hands one stream to the HTTP library in place of a new connection.
+/// Holds the stream that the HTTP library gets in place of a new connection.
 #[derive(Debug, Default)]
-pub(crate) struct Handover(parking_lot::Mutex<Option<Stream>>);
+pub(crate) struct StreamSlot(parking_lot::Mutex<Option<Stream>>);
 
-impl Handover {
+impl StreamSlot {
     pub(crate) fn put(&self, stream: Stream) {
         *self.0.lock() = Some(stream);
     }
 }
 
-/// The library's side of a [`Handover`].
+/// Connector of the HTTP library that takes the stream from a [`StreamSlot`].
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Connector(pub(crate) Arc<Handover>);
+pub(crate) struct Connector(pub(crate) Arc<StreamSlot>);
 
 #[trillium_client::async_trait]
 impl trillium_client::Connector for Connector {
--- a/components/endpoint/src/http/watch.rs
+++ b/components/endpoint/src/http/watch.rs
@@ -1,16 +1,15 @@
-//! Finds connections that have gone silent while their endpoint is alive, and keeps the leases of
-//! tasks on workers.
+//! Detects dead connections whose endpoint is alive, and renews the leases of tasks on workers.
 //!
-//! A request without a byte for a while may belong to a long task or to a dead connection. The
-//! endpoint is asked over another connection what became of the attempt. As long as it runs, the
-//! request waits. An attempt that ended, or never arrived, has lost its answer or its request if
-//! the connection stays silent for the same time again, in which anything still on its way would
-//! have come. A failed question proves nothing: an endpoint that shuts down accepts no connection
-//! and still finishes what it runs.
+//! A request without a byte for a while may belong to a long task or be on a dead connection, so the
+//! state of the attempt is requested from the endpoint over another connection. As long as the attempt
+//! runs, the request waits. If the attempt has ended or never arrived, its response or its request is
+//! lost if the connection stays idle for the same time again, within which data still in flight would
+//! have arrived. A failed state request proves nothing: an endpoint that shuts down accepts no
+//! connection but still finishes its running tasks.
 
 use crate::{
     Call, Stop,
-    class::Verdict,
+    classify::Verdict,
     http::{
         Meter,
         client::{Inner, duration},
@@ -23,22 +22,22 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// How much longer each wait is than the one before, while the attempt runs.
-const BACKOFF: u32 = 2;
-/// A lease is renewed this many times before it would lapse.
-const RENEWALS: u32 = 3;
+/// Factor by which the wait between state requests grows while the attempt runs.
+const BACKOFF_FACTOR: u32 = 2;
+/// Number of renewals within the duration of a lease.
+const RENEWALS_PER_LEASE: u32 = 3;
 
-/// What an endpoint says about an attempt.
-enum Sign {
-    /// It did not answer.
-    Nothing,
-    /// It answered, but can't tell about attempts.
+/// Result of a health request about an attempt.
+enum ProbeResult {
+    /// The endpoint did not respond.
+    NoResponse,
+    /// The endpoint responded but does not report states of attempts.
     Alive,
-    /// It told.
-    Told(State),
+    /// The endpoint reported the state of the attempt.
+    State(State),
 }
 
-/// Ends only once the request can't get an answer on its connection any more.
+/// Returns only when the request can no longer get a response on its connection.
 pub(crate) async fn run(inner: &Inner, host: &Host, call: &Call, meter: &Meter) -> Verdict {
     match call.place {
         Place::Executors => executor(inner, host, call, meter).await,
@@ -50,36 +49,38 @@
     let silence = duration(inner.options.silence);
     let mut wait = silence;
     loop {
-        await_silence(meter, wait).await;
-        match ask(inner, host, call).await {
-            Sign::Told(State::Running) | Sign::Nothing => wait = wait.saturating_mul(BACKOFF),
-            Sign::Told(_) if is_still_silent(meter, silence).await => {
+        wait_until_idle(meter, wait).await;
+        match probe(inner, host, call).await {
+            ProbeResult::State(State::Running) | ProbeResult::NoResponse => {
+                wait = wait.saturating_mul(BACKOFF_FACTOR)
+            }
+            ProbeResult::State(_) if is_still_idle(meter, silence).await => {
                 return Verdict::DeadConnection;
             }
-            Sign::Alive if meter.silence() >= duration(inner.options.give_up) => {
+            ProbeResult::Alive if meter.silence() >= duration(inner.options.give_up) => {
                 return Verdict::DeadConnection;
             }
-            Sign::Alive => wait = duration(inner.options.give_up),
-            Sign::Told(_) => wait = silence,
+            ProbeResult::Alive => wait = duration(inner.options.give_up),
+            ProbeResult::State(_) => wait = silence,
         }
     }
 }
 
-async fn ask(inner: &Inner, host: &Host, call: &Call) -> Sign {
+async fn probe(inner: &Inner, host: &Host, call: &Call) -> ProbeResult {
     let token = inner.token(call.attempt);
     match inner.health(host.address, Some(token)).await {
-        Ok(answer) if !answer.is_success() => Sign::Nothing,
-        Ok(answer) => {
-            let state = answer.state.as_deref().and_then(State::parse);
-            state.map_or(Sign::Alive, Sign::Told)
+        Ok(response) if !response.is_success() => ProbeResult::NoResponse,
+        Ok(response) => {
+            let state = response.state.as_deref().and_then(State::parse);
+            state.map_or(ProbeResult::Alive, ProbeResult::State)
         }
-        Err(_) => Sign::Nothing,
+        Err(_) => ProbeResult::NoResponse,
     }
 }
 
 async fn worker(inner: &Inner, host: &Host, call: &Call, meter: &Meter) -> Verdict {
     let silence = duration(inner.options.silence);
-    let interval = duration(inner.options.lease) / RENEWALS;
+    let interval = duration(inner.options.lease) / RENEWALS_PER_LEASE;
     let token = inner.token(call.attempt);
     loop {
         Timer::after(interval).await;
@@ -90,7 +91,7 @@
             Some(State::Running) | None => continue,
             Some(state) => state,
         };
-        if !is_still_silent(meter, silence).await {
+        if !is_still_idle(meter, silence).await {
             continue;
         }
         if let Some(verdict) = settle(inner, host, token, state).await {
@@ -99,13 +100,13 @@
     }
 }
 
-/// What is known about an attempt that does not run on its worker.
+/// Returns the verdict for an attempt that does not run on its worker; `None` if it is not known.
 async fn settle(inner: &Inner, host: &Host, token: Token, state: State) -> Option<Verdict> {
     match state {
         State::Running => None,
         State::Ended => Some(Verdict::DeadConnection),
         State::Never => Some(Verdict::NeverRuns),
-        // The worker remembers the stop, so that a request still on its way can't start.
+        // The worker remembers the stop, so that a request still in flight can't start the attempt.
         State::Unknown => match inner.stop(host, token).await {
             Stop::NeverRuns => Some(Verdict::NeverRuns),
             Stop::Stopped | Stop::Ended => Some(Verdict::DeadConnection),
@@ -114,8 +115,8 @@
     }
 }
 
-/// Waits until the request has been sent and no byte moved for `limit`.
-async fn await_silence(meter: &Meter, limit: Duration) {
+/// Waits until the request was sent and no byte was transferred for `limit`.
+async fn wait_until_idle(meter: &Meter, limit: Duration) {
     loop {
         let left = limit.saturating_sub(meter.silence());
         match (meter.sent(), left.is_zero()) {
@@ -126,8 +127,8 @@
     }
 }
 
-/// Whether no byte moves for `limit` from now on.
-async fn is_still_silent(meter: &Meter, limit: Duration) -> bool {
+/// Returns whether no byte is transferred within `limit` from now.
+async fn is_still_idle(meter: &Meter, limit: Duration) -> bool {
     let before = meter.silence();
     Timer::after(limit).await;
     meter.silence() >= before + limit
--- a/components/endpoint/src/lib.rs
+++ b/components/endpoint/src/lib.rs
@@ -1,11 +1,10 @@
 //! Calls to endpoints: executors and workers.
 //!
-//! [`Transport`] is the edge of the process towards endpoints. Each call gives one [`Report`]
-//! whose [`Reply`] says exactly what is known about the attempt: that it ran, that it did not run,
-//! or that it may have run.
+//! [`Transport`] is the interface to endpoints. Each call returns one [`Report`] whose [`Reply`] states
+//! exactly what is known about the attempt: that it ran, that it did not run, or that it may have run.
 
 pub mod call;
-mod class;
+mod classify;
 pub mod http;
 pub mod protocol;
 pub mod reply;
--- a/components/endpoint/src/protocol.rs
+++ b/components/endpoint/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 protocol towards endpoints: names of headers, paths and the text of an attempt.
+//! The HTTP/1.1 protocol with endpoints: headers, paths, and the text format of attempts.
 //!
 //! `docs/WORKERS.md` describes the protocol.
 
@@ -7,32 +7,32 @@
 use site::id::{AttemptId, Incarnation};
 use std::{fmt, str::FromStr};
 
-/// Carries the task's identifier.
+/// Request header with the task's identifier.
 pub const TASK: &str = "Primrosestep-Task";
-/// Carries the attempt's [`Token`].
+/// Header with the attempt's [`Token`].
 pub const ATTEMPT: &str = "Primrosestep-Attempt";
-/// Names the service of a task on a worker.
+/// Request header with the service of a task on a worker.
 pub const SERVICE: &str = "Primrosestep-Service";
-/// Declares the cores that a task needs.
+/// Request header with the cores that a task needs.
 pub const CORES: &str = "Primrosestep-Cores";
-/// Declares the memory that a task needs.
+/// Request header with the memory that a task needs.
 pub const MEMORY: &str = "Primrosestep-Memory";
-/// Declares the accelerators that a task needs.
+/// Request header with the accelerators that a task needs.
 pub const ACCELERATORS: &str = "Primrosestep-Accelerators";
-/// How long the lease on a task lasts from the arrival of the request.
+/// Request header with the duration of the lease on a task, from the arrival of the request.
 pub const LEASE: &str = "Primrosestep-Lease";
-/// What became of an attempt that has no output: one of the constants in [`outcome`].
+/// Response header with the result of an attempt without output: one of the constants in [`outcome`].
 pub const OUTCOME: &str = "Primrosestep-Outcome";
-/// Why an attempt was refused: one of the constants in [`refusal`].
+/// Response header with the reason of a refusal: one of the constants in [`refusal`].
 pub const REFUSAL: &str = "Primrosestep-Refusal";
-/// `1` if the endpoint wants no new work.
+/// Response header that is `1` if the endpoint accepts no new work.
 pub const LEAVING: &str = "Primrosestep-Leaving";
-/// Answer to a health request that names an attempt: one of the constants in [`state`].
+/// Header of the response to a health request about an attempt: one of the constants in [`state`].
 pub const ATTEMPT_STATE: &str = "Primrosestep-Attempt-State";
 
 /// Path of the health request.
 pub const HEALTH_PATH: &str = "healthz";
-/// Path of the tasks of a worker.
+/// Path prefix of the tasks of a worker.
 pub const TASKS_PATH: &str = "v1/tasks";
 /// Path of the usage of a worker.
 pub const USAGE_PATH: &str = "v1/usage";
@@ -49,13 +49,13 @@
 
 /// Values of [`REFUSAL`].
 pub mod refusal {
-    /// Everything that the endpoint offers is in use.
+    /// The endpoint has no free capacity.
     pub const BUSY: &str = "busy";
     /// The endpoint is shutting down.
     pub const LEAVING: &str = "leaving";
 }
 
-/// Values of [`ATTEMPT_STATE`], and of the `state` member of a worker's answers.
+/// Values of [`ATTEMPT_STATE`], and of the `state` member of a worker's response bodies.
 pub mod state {
     /// The endpoint has not received the attempt.
     pub const UNKNOWN: &str = "unknown";
@@ -67,17 +67,17 @@
     pub const NEVER: &str = "never";
 }
 
-/// An attempt as endpoints see it: unique among the attempts of all processes.
+/// Identifier of an attempt in the protocol: unique among the attempts of all processes.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Token {
     /// The process that made the attempt.
     pub incarnation: Incarnation,
-    /// The attempt.
+    /// Identifier of the attempt within the process.
     pub attempt: AttemptId,
 }
 
-/// A text is no [`Token`].
+/// The text is not a [`Token`].
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 #[display("not an attempt: expected two hexadecimal numbers joined by '-'")]
 pub struct ParseError;
--- a/components/endpoint/src/reply.rs
+++ b/components/endpoint/src/reply.rs
@@ -4,49 +4,49 @@
 use serde::{Deserialize, Serialize};
 use site::{id::AttemptId, submission::Output, unit::Span};
 
-/// The end of one call.
+/// Result of one call.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The attempt of the call.
     pub attempt: AttemptId,
     /// What is known about it.
     pub reply: Reply,
-    /// The endpoint said that it is leaving and wants no new work.
+    /// Whether the endpoint reported that it is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Time from the call to its end.
+    /// Duration of the call.
     pub elapsed: Span,
 }
 
 /// What is known about an attempt.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It ran and answered. The status is below 500.
+    /// It ran and returned a response with a status below 500.
     Done(Output),
-    /// It ran and failed: a whole answer with status 500 or above that is no marked refusal.
+    /// It ran and failed: a complete response with status 500 or above that is not marked as a refusal.
     Failed(Output),
-    /// It did not run and never will: the endpoint says so.
+    /// It did not run and never will: the endpoint reported so.
     Refused {
         /// Why the endpoint refused.
         reason: Refusal,
-        /// When the endpoint may accept work again, if it says.
+        /// Time after which the endpoint may accept work again; `None` if it did not report one.
         retry_after: Option<Span>,
     },
-    /// It did not run and never will: no byte of the request left this process.
+    /// It did not run and never will: no byte of the request was sent.
     NotSent(Unsent),
-    /// It may have run: part of the request left, and no whole answer came or will come.
+    /// It may have run: part of the request was sent, and no complete response arrived or will arrive.
     Lost(Loss),
-    /// It may have run, or be running: no whole answer came in the time limit.
+    /// It may have run or still be running: no complete response arrived within the time limit.
     TimedOut,
 }
 
 impl Reply {
-    /// Whether the attempt may have run. Only if false may a task that is not repeatable be
-    /// attempted again.
+    /// Whether the attempt may have run. If so, a task that is not repeatable must not be attempted
+    /// again.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, Reply::Refused { .. } | Reply::NotSent(_))
     }
 
-    /// A short name for logs.
+    /// Returns a short name for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Reply::Done(_) => "done",
@@ -63,25 +63,25 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// Everything that it offers is in use.
+    /// It has no free capacity.
     #[display("busy")]
     Busy,
     /// It is shutting down.
     #[display("leaving")]
     Leaving,
-    /// It gave another reason or none.
+    /// It reported another reason or none.
     #[display("other")]
     Other,
 }
 
-/// Why nothing of a request left this process.
+/// Why no byte of a request was sent.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unsent {
     /// The endpoint refused the connection.
     #[display("connection refused")]
     ConnectRefused,
-    /// The connection was not open in time.
+    /// The connection was not established in time.
     #[display("connect timed out")]
     ConnectTimedOut,
     /// The connection could not be opened for another reason.
@@ -98,40 +98,40 @@
     Invalid,
 }
 
-/// Why an attempt has no whole answer.
+/// Why an attempt has no complete response.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Loss {
-    /// The connection ended before the first byte of the answer.
+    /// The connection ended before the first byte of the response.
     #[display("connection closed before the answer")]
     Closed,
-    /// The connection ended within the answer.
+    /// The connection ended within the response.
     #[display("answer truncated")]
     Truncated,
-    /// The answer is not valid HTTP/1.1, or its end can't be told from a truncation.
+    /// The response is not valid HTTP/1.1, or its end can't be distinguished from a truncation.
     #[display("malformed answer")]
     Malformed,
-    /// The body is larger than the limit.
+    /// The response body is larger than the limit.
     #[display("answer too large")]
     TooLarge,
-    /// The connection is dead, though the endpoint is alive and says that the attempt does not run,
-    /// or can't tell and was given longer than any task runs.
+    /// The connection is dead, but the endpoint is alive. It reports that the attempt does not run, or
+    /// does not report states and the request has been idle for longer than any task runs.
     #[display("silent connection")]
     SilentConnection,
-    /// The operating system gave up on the connection, though the endpoint is alive. The endpoint
-    /// was not asked about the attempt.
+    /// The operating system closed the connection, but the endpoint is alive. The state of the attempt
+    /// was not requested.
     #[display("dead connection")]
     DeadConnection,
-    /// Neither the connection nor the endpoint gives a sign of life.
+    /// The operating system closed the connection, and the endpoint does not respond.
     #[display("silent endpoint")]
     SilentEndpoint,
-    /// The answer names another attempt.
+    /// The response names another attempt.
     #[display("answer to another attempt")]
     Mismatch,
     /// The worker stopped the task before its end.
     #[display("stopped")]
     Stopped,
-    /// The worker has seen this attempt before.
+    /// The worker has received this attempt before.
     #[display("repeated attempt")]
     Repeated,
 }
--- a/components/endpoint/src/usage.rs
+++ b/components/endpoint/src/usage.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a worker use, as the worker measures it.
+//! Resource usage of a worker's tasks, as the worker measures it.
 
 use crate::protocol::Token;
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 pub struct Usage {
     /// Time since the measurement.
     pub age: Span,
-    /// The running tasks, in no order.
+    /// The running tasks, unordered.
     pub tasks: Vec<Task>,
 }
 
-/// What one task uses.
+/// Resource usage of one task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Task {
-    /// The attempt that runs. It may belong to another process.
+    /// The attempt that runs. It may have been made by another process.
     pub attempt: Token,
     /// Measured usage. Slots are zero.
     pub used: Resources,
--- a/components/endpoint/tests/common/mod.rs
+++ b/components/endpoint/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the transport share.
+//! Helpers of the transport's tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -24,8 +24,8 @@
     time::{Duration, Instant},
 };
 
-/// Long enough for anything that should happen.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of everything that a test waits for.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 const INCARNATION: Incarnation = Incarnation(0xabc);
 
@@ -45,7 +45,7 @@
     Worker::spawn(local(), options, Ledger::default()).unwrap()
 }
 
-/// A call of a fresh attempt to an executor.
+/// Returns a call of a new attempt to an executor.
 pub(crate) fn call(address: SocketAddr, body: &str) -> Call {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let attempt = AttemptId(NEXT.fetch_add(1, Ordering::Relaxed));
@@ -65,8 +65,8 @@
     }
 }
 
-/// A call of a fresh attempt to a worker.
-pub(crate) fn work(address: SocketAddr, body: &str) -> Call {
+/// Returns a call of a new attempt to a worker.
+pub(crate) fn worker_call(address: SocketAddr, body: &str) -> Call {
     Call { place: Place::Workers, ..call(address, body) }
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// An endpoint that answers the first request with these bytes and closes the connection.
+/// Starts an endpoint that responds to the first request with these bytes and closes the connection.
 pub(crate) async fn raw(answer: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind(local()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -95,11 +95,11 @@
     address
 }
 
-/// Waits for a state. Returns whether it came.
+/// Waits until `reached` returns true; returns false after the timeout.
 pub(crate) async fn until(reached: impl Fn() -> bool) -> bool {
     let start = Instant::now();
     while !reached() {
-        if start.elapsed() > PATIENCE {
+        if start.elapsed() > TIMEOUT {
             return false;
         }
         Timer::after(Duration::from_millis(1)).await;
--- a/components/endpoint/tests/pool.rs
+++ b/components/endpoint/tests/pool.rs
@@ -1,8 +1,8 @@
-//! Connections are kept, shared within their limit, and replaced once they go silent.
+//! Connection pools: reuse, limits, idle timeouts, and replacement of dead connections.
 
 mod common;
 
-use common::{PATIENCE, call, client, executor, output, until};
+use common::{TIMEOUT, call, client, executor, output, until};
 use endpoint::{
     Call, Loss, Reply, Transport,
     http::{Client, Options},
@@ -11,8 +11,8 @@
 use smol::block_on;
 use standin::{Executor, Faults, executor, fault::Silence, ledger::Step};
 
-/// Notices silence soon.
-fn alert() -> Options {
+/// Options that detect a dead connection quickly.
+fn quick_detection() -> Options {
     Options {
         silence: Span::from_millis(30),
         give_up: Span::from_millis(150),
@@ -24,7 +24,7 @@
     Faults { silent: Some(half), ..Faults::default() }
 }
 
-/// Runs calls at one time.
+/// Runs calls concurrently.
 async fn call_all(client: &Client, calls: Vec<Call>) -> Vec<Reply> {
     let executor = smol::Executor::new();
     let tasks: Vec<_> = calls.into_iter().map(|call| executor.spawn(client.call(call))).collect();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_connection_is_used_again() {
+fn a_connection_is_reused() {
     let options = executor::Options { connections: 1, ..executor::Options::default() };
     block_on(async {
         let executor = executor(options);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn no_more_connections_than_allowed_are_open() {
+fn the_number_of_connections_is_limited() {
     let options = executor::Options { connections: 4, ..executor::Options::default() };
     block_on(async {
         let executor = executor(options);
@@ -72,13 +72,13 @@
             call_all(&client, held).await;
             false
         };
-        let started = executor.ledger().wait(Step::Start, 44, PATIENCE);
+        let started = executor.ledger().wait(Step::Start, 44, TIMEOUT);
         assert!(smol::future::or(started, held).await);
     });
 }
 
 #[test]
-fn a_connection_that_was_idle_too_long_is_closed() {
+fn an_idle_connection_is_closed() {
     let options = Options { idle_limit: Span::from_millis(40), ..Options::default() };
     block_on(async {
         let executor = executor(executor::Options::default());
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn a_silent_connection_is_told_from_a_dead_endpoint() {
+fn a_dead_connection_is_distinguished_from_a_dead_endpoint() {
     for half in [Silence::Requests, Silence::Answers] {
         block_on(async {
             let executor = executor(executor::Options::default());
-            let client = client(alert());
+            let client = client(quick_detection());
             open_two(&client, &executor).await;
             executor.set_faults(silent(half));
             let report = client.call(call(executor.address(), "")).await;
             assert_eq!(report.reply, Reply::Lost(Loss::SilentConnection), "{half:?}");
-            // The other connection is as old, and is given up as well.
+            // The other connection, which was also open, is retired as well.
             output(client.call(call(executor.address(), "")).await.reply);
             let ran = if half == Silence::Answers { 4 } else { 3 };
             assert_eq!(executor.ledger().count(Step::End), ran);
@@ -108,39 +108,39 @@
 }
 
 #[test]
-fn a_silent_connection_is_given_up_if_the_endpoint_does_not_know_attempts() {
+fn a_dead_connection_is_given_up_if_the_endpoint_does_not_report_attempts() {
     block_on(async {
         let executor = executor(executor::Options::default());
-        let client = client(alert());
+        let client = client(quick_detection());
         open_two(&client, &executor).await;
         executor.set_faults(Faults { plain_health: true, ..silent(Silence::Requests) });
         let report = client.call(call(executor.address(), "")).await;
         assert_eq!(report.reply, Reply::Lost(Loss::SilentConnection));
-        assert!(report.elapsed >= alert().give_up);
+        assert!(report.elapsed >= quick_detection().give_up);
     });
 }
 
 #[test]
-fn a_long_task_is_not_taken_for_a_silent_connection() {
+fn a_long_task_is_not_mistaken_for_a_dead_connection() {
     block_on(async {
         let executor = executor(executor::Options::default());
         let body = r#"{"ms": 600}"#;
-        let report = client(alert()).call(call(executor.address(), body)).await;
+        let report = client(quick_detection()).call(call(executor.address(), body)).await;
         output(report.reply);
         assert_eq!(executor.ledger().count(Step::Start), 1);
     });
 }
 
 #[test]
-fn a_task_of_an_endpoint_that_stops_to_listen_still_ends() {
-    // Health requests are given up several times while the task runs.
-    let options = Options { control_timeout: Span::from_millis(20), ..alert() };
+fn a_task_completes_on_an_endpoint_that_accepts_no_connections() {
+    // Health requests time out several times while the task runs.
+    let options = Options { control_timeout: Span::from_millis(20), ..quick_detection() };
     block_on(async {
         let executor = executor(executor::Options::default());
         let client = client(options);
         let held = client.call(call(executor.address(), r#"{"ms": 600}"#));
         let leave = async {
-            assert!(executor.ledger().wait(Step::Start, 1, PATIENCE).await);
+            assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             executor.drain().await;
         };
         let (report, ()) = smol::future::zip(held, leave).await;
--- a/components/endpoint/tests/class.rs
+++ b/components/endpoint/tests/replies.rs
@@ -1,8 +1,8 @@
-//! Each end of a call to an executor is classed for what it is.
+//! Classification of the ends of calls to executors.
 
 mod common;
 
-use common::{PATIENCE, call, client, executor, output, raw};
+use common::{TIMEOUT, call, client, executor, output, raw};
 use endpoint::{Call, Loss, Probe, Refusal, Reply, Transport, Unsent, http::Options};
 use serde_json::Value;
 use site::unit::{Memory, Span};
@@ -13,11 +13,11 @@
     executor::Options { slots: 1, ..executor::Options::default() }
 }
 
-/// Long enough to be running while a test looks.
+/// A task that runs longer than a test.
 const LONG: &str = r#"{"ms": 60000}"#;
 
 #[test]
-fn a_whole_answer_is_done() {
+fn a_complete_response_is_done() {
     block_on(async {
         let executor = executor(executor::Options::default());
         let call = call(executor.address(), r#"{"ms": 1, "echo": "edge profile"}"#);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn large_bodies_pass_whole() {
+fn large_bodies_are_complete() {
     block_on(async {
         let executor = executor(executor::Options::default());
         let echo = "q".repeat(900_000);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_answer_below_500_is_done_and_above_it_failed() {
+fn a_status_below_500_is_done_and_others_are_failed() {
     block_on(async {
         let executor = executor(executor::Options::default());
         let client = client(Options::default());
@@ -64,13 +64,13 @@
 }
 
 #[test]
-fn a_marked_refusal_is_known_not_to_have_run() {
+fn a_marked_refusal_has_not_run() {
     block_on(async {
         let executor = executor(one_slot());
         let client = client(Options::default());
         let held = client.call(call(executor.address(), LONG));
         let refused = async {
-            assert!(executor.ledger().wait(Step::Start, 1, PATIENCE).await);
+            assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             client.call(call(executor.address(), "")).await
         };
         let report = smol::future::or(refused, held).await;
@@ -109,7 +109,7 @@
         let one = |body| Call { connections: 1, ..call(executor.address(), body) };
         let held = client.call(one(LONG));
         let waiting = async {
-            assert!(executor.ledger().wait(Step::Start, 1, PATIENCE).await);
+            assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             client.call(Call { time_limit: Span::from_millis(20), ..one("") }).await
         };
         let report = smol::future::or(waiting, held).await;
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_request_without_a_whole_answer_is_lost() {
+fn a_request_without_a_complete_response_is_lost() {
     let drop_after_write = Faults { drop_after_write: true, ..Faults::default() };
     let truncate = Faults { truncate: true, ..Faults::default() };
     let malformed = Faults { malformed: true, ..Faults::default() };
@@ -155,13 +155,13 @@
 }
 
 #[test]
-fn an_endpoint_that_dies_loses_what_it_runs() {
+fn attempts_are_lost_when_their_endpoint_dies() {
     block_on(async {
         let executor = executor(executor::Options::default());
         let client = client(Options::default());
         let held = client.call(call(executor.address(), LONG));
         let death = async {
-            assert!(executor.ledger().wait(Step::Start, 1, PATIENCE).await);
+            assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             executor.kill().await;
         };
         let (report, ()) = smol::future::zip(held, death).await;
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn raw_answers_are_taken_whole_or_not_at_all() {
+fn raw_responses_are_complete_or_lost() {
     type Body = Result<&'static [u8], Reply>;
     let lost = |loss| Err(Reply::Lost(loss));
     let cases: [(&[u8], Body); 13] = [
@@ -200,7 +200,7 @@
         (b"HTTP/1.1 204 No Content\r\n\r\n", Ok(b"")),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nslab\r\n1\r\n!\r\n0\r\n\r\n", Ok(b"slab!")),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nslab\r\n1\r\n", lost(Loss::Truncated)),
-        // The end of the body can't be told from a truncation.
+        // The end of the body can't be distinguished from a truncation.
         (b"HTTP/1.1 200 OK\r\n\r\n0\r\n\r\n", lost(Loss::Malformed)),
         (b"HTTP/1.1 299 What\r\nContent-Length: 0\r\n\r\n", lost(Loss::Malformed)),
         (b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", lost(Loss::Malformed)),
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -4,7 +4,7 @@
     document::{self, HOST, JOBS, PATIENCE_MS},
     history::{self, History, Outcome},
 };
-use endpoint::http::{Ask, Caller as Transport, Failed, Options, Reply};
+use endpoint::http::{Options, RawClient as Transport, RawRequest, RawResponse, RequestError};
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 use smol::{Timer, future::FutureExt};
@@ -83,7 +83,7 @@
             };
             None
         };
-        let answer = async { Some(transport.ask(shared.entries[entry], ask).await) };
+        let answer = async { Some(transport.send(shared.entries[entry], ask).await) };
         let outcome = answer.or(leave).await.map_or(Outcome::Left, outcome);
         shared.history.end(name, attempt, outcome);
         match outcome {
@@ -102,7 +102,7 @@
     }
 }
 
-fn ask(name: &str, attempt: usize, body: &str, left: Duration) -> Ask {
+fn ask(name: &str, attempt: usize, body: &str, left: Duration) -> RawRequest {
     let headers = vec![
         ("Host", HOST.to_owned()),
         ("Request-Id", history::request(name, attempt)),
@@ -110,10 +110,10 @@
     ];
     let path = format!("{JOBS}{name}");
     let body = body.to_owned().into();
-    Ask { method: Method::Post, path, headers, body, time_limit: left + ANSWER_WAY }
+    RawRequest { method: Method::Post, path, headers, body, time_limit: left + ANSWER_WAY }
 }
 
-fn outcome(answer: Result<Reply, Failed>) -> Outcome {
+fn outcome(answer: Result<RawResponse, RequestError>) -> Outcome {
     match answer {
         Ok(reply) => match (reply.status, &reply.body[..]) {
             (200, br#"{"state":"completed"}"#) => Outcome::Completed,
@@ -122,8 +122,8 @@
             (504, _) => Outcome::GivenUp,
             (status, _) => Outcome::Odd(status),
         },
-        Err(Failed::Lost) => Outcome::Broken,
-        Err(Failed::TimedOut) => Outcome::TimedOut,
-        Err(Failed::Unsent(_) | Failed::Invalid) => Outcome::Unsent,
+        Err(RequestError::Lost) => Outcome::Broken,
+        Err(RequestError::TimedOut) => Outcome::TimedOut,
+        Err(RequestError::Unsent(_) | RequestError::Invalid) => Outcome::Unsent,
     }
 }
--- a/soak/src/sabotage.rs
+++ b/soak/src/sabotage.rs
@@ -7,7 +7,7 @@
     proxy::Proxy,
     site::Site,
 };
-use endpoint::http::{Ask, Caller, Options};
+use endpoint::http::{Options, RawClient, RawRequest};
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 use smol::Timer;
@@ -81,7 +81,7 @@
 /// What the server answers with.
 struct Front {
     sabotage: Sabotage,
-    caller: Arc<Caller>,
+    caller: Arc<RawClient>,
     executors: Vec<SocketAddr>,
     /// Requests that were read, by their ids.
     read: Arc<Mutex<Vec<String>>>,
@@ -97,7 +97,7 @@
     /// When no port can be bound.
     pub async fn start(sabotage: Sabotage, site: &Site) -> Result<Rogue, Error> {
         let executors = site.workers.iter().map(|worker| worker.executor.address).collect();
-        let caller = Arc::new(Caller::new(8, Options::default()));
+        let caller = Arc::new(RawClient::new(8, Options::default()));
         let proxy = Arc::new(OnceLock::new());
         let read = Arc::new(Mutex::default());
         let front = Front { sabotage, caller, executors, read: read.clone(), proxy: proxy.clone() };
@@ -170,7 +170,7 @@
     }
 }
 
-async fn renew(caller: Arc<Caller>, executor: SocketAddr) {
+async fn renew(caller: Arc<RawClient>, executor: SocketAddr) {
     let hold = json!({ "deadline_ms": NEVER, "fencing_token": TOKEN, "acked_upto": 0 });
     for _ in 0..RENEWALS {
         order(&caller, executor, "/-/hold", &hold).await;
@@ -178,8 +178,8 @@
     }
 }
 
-async fn order(caller: &Caller, executor: SocketAddr, path: &str, body: &Value) {
-    let ask = Ask {
+async fn order(caller: &RawClient, executor: SocketAddr, path: &str, body: &Value) {
+    let ask = RawRequest {
         method: ClientMethod::Post,
         path: path.to_owned(),
         headers: Vec::new(),
@@ -187,5 +187,5 @@
         time_limit: ORDER_LIMIT,
     };
     // What is refused breaks nothing, and the checks tell what was broken.
-    let _ = caller.ask(executor, ask).await;
+    let _ = caller.send(executor, ask).await;
 }
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -8,7 +8,7 @@
     proxy::Proxy,
     relay::Relay,
 };
-use endpoint::http::{Ask, Caller, Options};
+use endpoint::http::{Options, RawClient, RawRequest};
 use serde_json::Value;
 use smol::{Timer, lock::Mutex};
 use standin::{
@@ -160,7 +160,7 @@
     }
 
     async fn wait_ready(&self) -> Result<(), Error> {
-        let caller = Caller::new(1, Options::default());
+        let caller = RawClient::new(1, Options::default());
         let until = Instant::now() + READY_LIMIT;
         for node in &self.nodes {
             while !is_ready(&caller, node.readiness).await {
@@ -212,13 +212,13 @@
     DATA_CENTRES[index % DATA_CENTRES.len()]
 }
 
-async fn is_ready(caller: &Caller, address: SocketAddr) -> bool {
-    let ask = Ask {
+async fn is_ready(caller: &RawClient, address: SocketAddr) -> bool {
+    let ask = RawRequest {
         method: Method::Get,
         path: "/-/readiness".to_owned(),
         headers: Vec::new(),
         body: Vec::new().into(),
         time_limit: READY_ANSWER,
     };
-    caller.ask(address, ask).await.is_ok_and(|reply| reply.status == 200)
+    caller.send(address, ask).await.is_ok_and(|reply| reply.status == 200)
 }
--- a/soak/src/watch.rs
+++ b/soak/src/watch.rs
@@ -7,7 +7,7 @@
     inject::Injector,
     site::Site,
 };
-use endpoint::http::{Ask, Caller, Options};
+use endpoint::http::{Options, RawClient, RawRequest};
 use smol::Timer;
 use std::{
     net::SocketAddr,
@@ -31,7 +31,7 @@
 
 /// Asks an entry for its configuration at the address where callers reach it, for good.
 pub async fn configuration(injector: Arc<Injector>, entry: usize, address: SocketAddr) {
-    let caller = Caller::new(1, Options::default());
+    let caller = RawClient::new(1, Options::default());
     loop {
         Timer::after(ASK_INTERVAL).await;
         let Some(boot) = boot(&injector, entry) else { continue };
@@ -50,9 +50,9 @@
 }
 
 /// The version that an entry has in force: the only one whose marker it knows.
-async fn version(injector: &Injector, caller: &Caller, address: SocketAddr) -> Option<u64> {
+async fn version(injector: &Injector, caller: &RawClient, address: SocketAddr) -> Option<u64> {
     for version in (1..=injector.version.load(Ordering::Relaxed)).rev() {
-        let reply = caller.ask(address, ask(version)).await.ok()?;
+        let reply = caller.send(address, ask(version)).await.ok()?;
         if reply.status == 200 {
             return Some(version);
         }
@@ -60,8 +60,8 @@
     None
 }
 
-fn ask(version: u64) -> Ask {
-    Ask {
+fn ask(version: u64) -> RawRequest {
+    RawRequest {
         method: Method::Get,
         path: document::marker(version),
         headers: vec![("Host", HOST.to_owned())],
