--- a/components/link/benches/control.rs
+++ b/components/link/benches/control.rs
@@ -1,7 +1,7 @@
-//! What a connection costs: `cargo bench -p link --bench control`.
+//! Cost of a connection: `cargo bench -p link --bench control`.
 //!
-//! Prints the bytes per second of a connection that is idle, and of one that carries heartbeats;
-//! then round trips and the rate of small messages over loopback.
+//! Prints the bytes per second of an idle connection and of one that carries heartbeats, then the
+//! round-trip time and the throughput of small messages over loopback.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -13,8 +13,8 @@
 use smol::{Timer, block_on};
 use std::time::{Duration, Instant};
 
-const WATCHED: Duration = Duration::from_secs(10);
-const INTERVAL: Duration = Duration::from_millis(500);
+const MEASURED_TIME: Duration = Duration::from_secs(10);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const ROUND_TRIPS: u64 = 10_000;
 const MESSAGES: u64 = 300_000;
 
@@ -22,7 +22,7 @@
     block_on(async {
         let authority = Authority::create().expect("an authority");
         let (one, two) = pair(&authority).await;
-        // Lets the discovery of the path's largest datagram end.
+        // Waits for the end of path MTU discovery.
         Timer::after(Duration::from_secs(2)).await;
         idle(&one).await;
         heartbeats(&one, &two).await;
@@ -33,7 +33,7 @@
 
 async fn idle(one: &Peer) {
     let before = one.node.traffic();
-    Timer::after(WATCHED).await;
+    Timer::after(MEASURED_TIME).await;
     print("idle", before, one.node.traffic());
 }
 
@@ -45,10 +45,10 @@
         adopted: vec![],
     });
     let (before, started) = (one.node.traffic(), Instant::now());
-    while started.elapsed() < WATCHED {
+    while started.elapsed() < MEASURED_TIME {
         one.node.send(two.home, &beat).expect("it is connected");
         two.node.send(one.home, &beat).expect("it is connected");
-        Timer::after(INTERVAL).await;
+        Timer::after(HEARTBEAT_INTERVAL).await;
         one.next().await;
         two.next().await;
     }
@@ -56,7 +56,7 @@
 }
 
 fn print(name: &str, before: Traffic, after: Traffic) {
-    let rate = |before: u64, after: u64| (after - before) as f64 / WATCHED.as_secs_f64();
+    let rate = |before: u64, after: u64| (after - before) as f64 / MEASURED_TIME.as_secs_f64();
     println!(
         "{name}: {:.0} B/s out, {:.0} B/s in as UDP payload; {:.0} B/s of frames out",
         rate(before.datagram_bytes_out, after.datagram_bytes_out),
--- a/components/link/src/close.rs
+++ b/components/link/src/close.rs
@@ -1,21 +1,21 @@
-//! Close codes: why an entry ended a connection.
+//! Close codes: why an entry closed a connection.
 
 use derive_more::Display;
 use quinn::VarInt;
 
-/// Why an entry ended a connection. The numbers are part of the protocol.
+/// Why an entry closed a connection. The numbers are part of the protocol.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 pub enum Code {
-    /// The sender is stopping, or has read the end of the peer's stream.
+    /// The sender is shutting down, or has read the end of the peer's stream.
     #[display("done")]
     Done,
-    /// Another connection between the same two processes takes its place.
+    /// Another connection between the same two processes replaces this one.
     #[display("another connection takes its place")]
     Duplicate,
-    /// The hello names an entry that the certificate does not.
+    /// The hello does not name the entry in the certificate, or the entry that was dialled.
     #[display("the hello does not match the certificate")]
     Identity,
-    /// A frame is in another version of the protocol.
+    /// A frame has another protocol version.
     #[display("another version of the protocol")]
     Version,
     /// A frame can't be decoded.
@@ -24,22 +24,22 @@
     /// A frame is longer than the receiver's limit.
     #[display("frame too large")]
     TooLarge,
-    /// More was queued for the peer than the sender's limit.
+    /// The sender's queue for the peer exceeded its limit.
     #[display("send queue overflow")]
     Overflow,
-    /// No hello came in time.
+    /// The handshake or the hello did not complete in time.
     #[display("no hello in time")]
     NoHello,
     /// The sender no longer wants this connection.
     #[display("no longer wanted")]
     Forgotten,
-    /// A code that this build does not know.
+    /// A code that this version does not know.
     #[display("unknown close code {_0}")]
     Unknown(u64),
 }
 
 impl Code {
-    /// The number on the wire.
+    /// Returns the number in the protocol.
     pub fn number(self) -> u64 {
         match self {
             Code::Done => 0,
--- a/components/link/src/error.rs
+++ b/components/link/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection could not be made, ended, or took no message.
+//! Errors of connections between entries.
 
 use crate::{Code, tls};
 use derive_more::{Display, Error, From};
@@ -6,36 +6,36 @@
 use site::id::Home;
 use std::{io, net::SocketAddr};
 
-/// TLS alerts stand in this range of QUIC's transport error codes.
+/// Range of QUIC transport error codes that are TLS alerts.
 const ALERTS: std::ops::Range<u64> = 0x100..0x200;
 
-/// Why a connection could not be made, ended, or took no message.
+/// Why a connection could not be established, was lost, or accepted no message.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
     /// The UDP socket can't be opened.
     #[display("can't listen on {address}: {source}")]
     #[from(skip)]
     Listen {
-        /// Where.
+        /// Address to listen on.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The certificate, key or authority can't be used.
     #[display("{_0}")]
     Tls(tls::Error),
-    /// The connection can't even be tried.
+    /// The attempt to connect can't be started.
     #[display("can't connect: {_0}")]
     Connect(ConnectError),
-    /// One end does not trust the other's certificate.
+    /// One end rejected the certificate of the other.
     #[display("not trusted: {reason}")]
     #[from(skip)]
     Untrusted {
-        /// What TLS says.
+        /// Message of the TLS alert.
         #[error(not(source))]
         reason: String,
     },
-    /// The connection was lost or could not be made.
+    /// The connection was lost or could not be established.
     #[display("connection lost: {_0}")]
     #[from(skip)]
     Lost(ConnectionError),
@@ -54,7 +54,7 @@
     #[display("no connection to {_0}")]
     #[from(skip)]
     NotConnected(#[error(not(source))] Home),
-    /// The peer does not take its messages fast enough; the connection was closed.
+    /// The peer does not read its messages fast enough; the connection was closed.
     #[display("the send queue to {_0} is full; the connection was closed")]
     #[from(skip)]
     Overflow(#[error(not(source))] Home),
@@ -78,7 +78,7 @@
 }
 
 impl Error {
-    /// The code to close the connection with.
+    /// Returns the code with which to close the connection.
     pub(crate) fn code(&self) -> Code {
         match self {
             Error::Frame(error) => (*error).into(),
--- a/components/link/src/node/accept.rs
+++ b/components/link/src/node/accept.rs
@@ -1,8 +1,8 @@
-//! Connections that others make.
+//! Accepts connections of other entries.
 
 use super::{
     Incoming, Inner, Payload,
-    greeting::{Greeted, greet},
+    handshake::{Established, exchange_hellos},
     session, within,
 };
 use crate::{Code, Error};
@@ -24,12 +24,12 @@
         let (inner, pending) = (inner.clone(), pending.clone());
         smol::spawn(async move {
             let address = incoming.remote_address();
-            inner.arriving.lock().insert(address);
-            let greeted = admit(&inner, incoming).await;
-            inner.arriving.lock().remove(&address);
+            inner.in_handshake.lock().insert(address);
+            let established = admit(&inner, incoming).await;
+            inner.in_handshake.lock().remove(&address);
             pending.fetch_sub(1, Relaxed);
-            match greeted {
-                Ok(greeted) => settle(inner, greeted).await,
+            match established {
+                Ok(established) => settle(inner, established).await,
                 Err(error) => report(&inner, Incoming::Failed { address, error }),
             }
         })
@@ -37,23 +37,24 @@
     }
 }
 
-async fn admit<M>(inner: &Inner<M>, incoming: quinn::Incoming) -> Result<Greeted, Error> {
+async fn admit<M>(inner: &Inner<M>, incoming: quinn::Incoming) -> Result<Established, Error> {
     let connecting = incoming.accept()?;
     let connection = within(inner.options.handshake_timeout, connecting)
         .await
         .ok_or(Error::Refused(Code::NoHello))??;
-    greet(inner, connection, None).await
+    exchange_hellos(inner, connection, None).await
 }
 
-async fn settle<M: Payload>(inner: Arc<Inner<M>>, greeted: Greeted) {
-    if inner.table.enter(&greeted.session).await {
-        session::run(inner, greeted).await;
+async fn settle<M: Payload>(inner: Arc<Inner<M>>, established: Established) {
+    if inner.table.insert(&established.session).await {
+        session::run(inner, established).await;
     } else {
-        greeted.session.close(Code::Duplicate);
+        established.session.close(Code::Duplicate);
     }
 }
 
-/// Strangers must not be able to fill the owner's queue, so this never waits.
+/// Reports a failed connection without waiting, and drops the report if the queue is full: peers that
+/// are not authenticated must not be able to block the queue.
 fn report<M>(inner: &Inner<M>, failed: Incoming<M>) {
     inner.counters.failed();
     if let Incoming::Failed { address, error } = &failed {
--- a/components/link/src/node/backoff.rs
+++ b/components/link/src/node/backoff.rs
@@ -1,9 +1,9 @@
-//! Pauses between attempts to connect.
+//! Exponential backoff with jitter for attempts to connect.
 
 use std::time::Duration;
 
-/// Pauses that double from `min` to `max`, each shortened at random by up to a half, so that the
-/// two ends of a lost connection don't try at the same moments.
+/// Pauses that double from `min` to `max`, each randomly shortened by up to a half, so that the two ends
+/// of a lost connection don't try at the same time.
 #[derive(Debug)]
 pub(super) struct Backoff {
     min: Duration,
--- a/components/link/src/node/dial.rs
+++ b/components/link/src/node/dial.rs
@@ -1,9 +1,9 @@
-//! Connections that this end makes and keeps.
+//! Connections that this node establishes and keeps.
 
 use super::{
     Incoming, Inner, Payload,
     backoff::Backoff,
-    greeting::{Greeted, greet},
+    handshake::{Established, exchange_hellos},
     session::{self, Session},
     within,
 };
@@ -19,8 +19,8 @@
     time::{Duration, Instant},
 };
 
-/// Keeps a connection to one entry. Dropping it stops further attempts, and no connection that
-/// is up.
+/// Keeps a connection to one entry. Dropping it stops further attempts, but does not close an
+/// established connection.
 #[derive(Debug)]
 pub(super) struct Dial<M> {
     address: Arc<Mutex<SocketAddr>>,
@@ -29,15 +29,15 @@
 }
 
 impl<M: Payload> Dial<M> {
-    /// Makes no attempt before `patience` is over.
+    /// Starts to connect. If `delay` is not zero, it first waits for that time for the entry to connect.
     pub(super) fn start(
         inner: Arc<Inner<M>>,
         entry: EntryId,
         address: SocketAddr,
-        patience: Duration,
+        delay: Duration,
     ) -> Self {
         let address = Arc::new(Mutex::new(address));
-        let task = smol::spawn(keep(inner, entry, address.clone(), patience));
+        let task = smol::spawn(keep(inner, entry, address.clone(), delay));
         Self { address, _task: task, payload: PhantomData }
     }
 
@@ -50,16 +50,16 @@
     inner: Arc<Inner<M>>,
     entry: EntryId,
     address: Arc<Mutex<SocketAddr>>,
-    patience: Duration,
+    delay: Duration,
 ) {
     let options = &inner.options;
-    if patience > Duration::ZERO {
-        within(patience, inner.table.wait_for(entry)).await;
+    if delay > Duration::ZERO {
+        within(delay, inner.table.wait_for(entry)).await;
     }
     let mut backoff = Backoff::new(options.min_backoff, options.max_backoff);
     loop {
         let target = *address.lock();
-        if inner.arriving.lock().contains(&target) {
+        if inner.in_handshake.lock().contains(&target) {
             within(options.handshake_timeout, inner.table.wait_for(entry)).await;
         }
         let session = match inner.table.of_entry(entry).into_iter().next() {
@@ -77,20 +77,21 @@
     }
 }
 
-/// Connects once, unless the other end does first and its connection is the one that would stay of two:
-/// all that was sent over the one that is closed again is lost. Returns the connection if one came up.
+/// Connects once. Stops if meanwhile the peer has established a connection that would be preferred to
+/// this one: messages sent on a connection that is then closed as a duplicate would be lost. Returns the
+/// connection if one is established.
 async fn attempt<M: Payload>(
     inner: &Arc<Inner<M>>,
     entry: EntryId,
     address: SocketAddr,
 ) -> Option<Arc<Session>> {
-    let by_other = async { Made::ByOther(preferred(inner, entry).await) };
-    let here = async { Made::Here(connect(inner, entry, address).await) };
-    match future::or(by_other, here).await {
-        Made::ByOther(session) => Some(session),
-        Made::Here(Ok(greeted)) => settle(inner, greeted).await,
-        Made::Here(Err(Error::Closed(Code::Duplicate))) => None,
-        Made::Here(Err(error)) => {
+    let by_peer = async { Connected::ByPeer(preferred(inner, entry).await) };
+    let locally = async { Connected::Locally(connect(inner, entry, address).await) };
+    match future::or(by_peer, locally).await {
+        Connected::ByPeer(session) => Some(session),
+        Connected::Locally(Ok(established)) => settle(inner, established).await,
+        Connected::Locally(Err(Error::Closed(Code::Duplicate))) => None,
+        Connected::Locally(Err(error)) => {
             inner.counters.failed();
             tracing::debug!(%entry, %address, %error, "can't connect");
             let _ = inner.incoming.send(Incoming::Failed { address, error }).await;
@@ -99,7 +100,7 @@
     }
 }
 
-/// Waits for a connection that `entry` made and that stays even if this end makes one, too.
+/// Waits for a connection of `entry` that is kept even if this node establishes another one.
 async fn preferred<M>(inner: &Inner<M>, entry: EntryId) -> Arc<Session> {
     let session = inner.table.wait_for(entry).await;
     match session.peer() < inner.options.home {
@@ -108,31 +109,34 @@
     }
 }
 
-/// Which end made a connection.
-enum Made {
-    ByOther(Arc<Session>),
-    Here(Result<Greeted, Error>),
+/// A connection by the end that established it, or the error of this end's attempt.
+enum Connected {
+    ByPeer(Arc<Session>),
+    Locally(Result<Established, Error>),
 }
 
 async fn connect<M>(
     inner: &Inner<M>,
     entry: EntryId,
     address: SocketAddr,
-) -> Result<Greeted, Error> {
+) -> Result<Established, Error> {
     let client = inner.client.read().clone();
-    let connecting = inner.endpoint.connect_with(client, address, &tls::name(entry))?;
+    let connecting = inner.endpoint.connect_with(client, address, &tls::dns_name(entry))?;
     let connection = within(inner.options.handshake_timeout, connecting)
         .await
         .ok_or(Error::Refused(Code::NoHello))??;
-    greet(inner, connection, Some(entry)).await
+    exchange_hellos(inner, connection, Some(entry)).await
 }
 
-async fn settle<M: Payload>(inner: &Arc<Inner<M>>, greeted: Greeted) -> Option<Arc<Session>> {
-    let session = greeted.session.clone();
-    if !inner.table.enter(&session).await {
+async fn settle<M: Payload>(
+    inner: &Arc<Inner<M>>,
+    established: Established,
+) -> Option<Arc<Session>> {
+    let session = established.session.clone();
+    if !inner.table.insert(&session).await {
         session.close(Code::Duplicate);
         return None;
     }
-    smol::spawn(session::run(inner.clone(), greeted)).detach();
+    smol::spawn(session::run(inner.clone(), established)).detach();
     Some(session)
 }
--- a/components/link/src/node/greeting.rs
+++ b/components/link/src/node/handshake.rs
@@ -1,4 +1,5 @@
-//! The first frames of a connection: who is there?
+//! The exchange of hellos, which are the first frames of a connection, and the check of the peer's
+//! identity.
 
 use super::{Inner, session::Session, within};
 use crate::{Code, Error, tls};
@@ -8,30 +9,29 @@
 use std::sync::Arc;
 use wire::{Decoder, Frame, Hello, hello::MAX_ADDRESSES};
 
-/// Bytes to take from a stream at one time.
-pub(super) const CHUNK: usize = 64 << 10;
+/// Maximum size of a read from a stream, in bytes.
+pub(super) const READ_SIZE: usize = 64 << 10;
 
-/// A connection whose peer has proved who it is.
+/// A connection whose peer is authenticated.
 #[derive(Debug)]
-pub(super) struct Greeted {
+pub(super) struct Established {
     pub(super) session: Arc<Session>,
     pub(super) send: SendStream,
     pub(super) recv: RecvStream,
-    /// May hold frames that came with the hello.
+    /// May contain frames that arrived together with the hello.
     pub(super) decoder: Decoder,
 }
 
-/// Exchanges hellos. `dialled` is the entry that this end connected to, if it did.
-///
-/// On an error the connection is closed.
-pub(super) async fn greet<M>(
+/// Exchanges hellos. `dialled` is the entry that this node connected to; `None` if it accepted the
+/// connection. Closes the connection on an error.
+pub(super) async fn exchange_hellos<M>(
     inner: &Inner<M>,
     connection: Connection,
     dialled: Option<EntryId>,
-) -> Result<Greeted, Error> {
+) -> Result<Established, Error> {
     let limit = inner.options.handshake_timeout;
-    let greeted = within(limit, exchange(inner, &connection, dialled)).await;
-    greeted.unwrap_or(Err(Error::Refused(Code::NoHello))).inspect_err(|error| {
+    let established = within(limit, exchange(inner, &connection, dialled)).await;
+    established.unwrap_or(Err(Error::Refused(Code::NoHello))).inspect_err(|error| {
         connection.close(error.code().into(), b"");
     })
 }
@@ -40,7 +40,7 @@
     inner: &Inner<M>,
     connection: &Connection,
     dialled: Option<EntryId>,
-) -> Result<Greeted, Error> {
+) -> Result<Established, Error> {
     let mut send = connection.open_uni().await?;
     send.write_all(&own_hello(inner)?).await.map_err(write_error)?;
     let mut recv = connection.accept_uni().await?;
@@ -48,7 +48,7 @@
     let hello = read_hello(&mut recv, &mut decoder).await?;
     check(inner, connection, &hello, dialled)?;
     let session = Session::new(&inner.options, connection.clone(), hello, dialled.is_some());
-    Ok(Greeted { session: Arc::new(session), send, recv, decoder })
+    Ok(Established { session: Arc::new(session), send, recv, decoder })
 }
 
 fn own_hello<M>(inner: &Inner<M>) -> Result<Vec<u8>, Error> {
@@ -68,14 +68,14 @@
         if let Some(frame) = decoder.take::<Hello>()? {
             return Ok(frame.message);
         }
-        match recv.read_chunk(CHUNK, true).await.map_err(read_error)? {
+        match recv.read_chunk(READ_SIZE, true).await.map_err(read_error)? {
             Some(chunk) => decoder.feed(&chunk.bytes),
             None => return Err(Error::Refused(Code::NoHello)),
         }
     }
 }
 
-/// Checks that the peer is who it says, and who this end asked for.
+/// Checks that the peer's certificate matches its hello and the entry that this node connected to.
 fn check<M>(
     inner: &Inner<M>,
     connection: &Connection,
@@ -85,7 +85,7 @@
     let entry = hello.home.entry;
     let identity = connection.peer_identity();
     let chain = identity.and_then(|any| any.downcast::<Vec<CertificateDer<'static>>>().ok());
-    let named = chain.and_then(|chain| chain.first().map(|own| tls::names(own, entry)));
+    let named = chain.and_then(|chain| chain.first().map(|own| tls::has_dns_name(own, entry)));
     let expected = dialled.is_none_or(|asked| asked == entry);
     let other = hello.home != inner.options.home;
     match named == Some(true) && expected && other && hello.addresses.len() <= MAX_ADDRESSES {
--- a/components/link/src/node/mod.rs
+++ b/components/link/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! A node: all connections of one entry.
+//! A node manages all connections of one entry.
 
 mod accept;
 mod backoff;
 mod dial;
-mod greeting;
-mod outbox;
+mod handshake;
 mod runtime;
+mod send_queue;
 mod session;
 mod table;
 mod traffic;
@@ -28,41 +28,41 @@
 use table::Table;
 use traffic::Counters;
 
-/// What may be sent to peers: anything that has an encoding of its own and may change threads.
+/// Messages that can be sent to peers: all types that can be serialized and sent between threads.
 pub trait Payload: Serialize + DeserializeOwned + Send + 'static {}
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> Payload for M {}
 
-/// What a node tells its owner.
+/// Events and messages that a node delivers.
 #[derive(Debug)]
 pub enum Incoming<M> {
-    /// A connection to a peer came up. Followed by exactly one `Down` for it.
+    /// A connection to a peer was established. Followed by exactly one `Down` for it.
     Up {
-        /// The peer, authenticated.
+        /// The authenticated peer.
         peer: Home,
     },
-    /// The connection to a peer is lost. What was sent may or may not have arrived.
+    /// The connection to a peer has ended. Messages that were sent may or may not have arrived.
     Down {
         /// The peer.
         peer: Home,
     },
-    /// A message. Comes between `Up` and `Down` of its sender, in the order of sending.
+    /// A message. Delivered between `Up` and `Down` of its sender, in the order of sending.
     Message {
-        /// The sender, authenticated.
+        /// The authenticated sender.
         from: Home,
-        /// What it says.
+        /// The decoded message.
         message: M,
     },
-    /// A connection could not be made or accepted. Attempts of this end go on.
+    /// A connection could not be established or accepted. The node continues its own attempts.
     Failed {
-        /// The other end.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Why.
+        /// Why the connection failed.
         error: Error,
     },
 }
 
-/// All connections of one entry. Dropping it closes them at once.
+/// All connections of one entry. Dropping the node closes them at once.
 #[derive(Debug)]
 pub struct Node<M> {
     inner: Arc<Inner<M>>,
@@ -71,27 +71,26 @@
 #[derive(Debug)]
 struct Inner<M> {
     options: Options,
-    /// Where this node accepts connections.
+    /// Address where this node accepts connections.
     address: SocketAddr,
     endpoint: Endpoint,
     transport: Arc<TransportConfig>,
-    /// Replaced when the identity is.
+    /// Replaced together with the identity.
     client: RwLock<ClientConfig>,
     table: Table,
     dials: Mutex<FxHashMap<EntryId, dial::Dial<M>>>,
-    /// Where others are just connecting from.
-    arriving: Mutex<FxHashSet<SocketAddr>>,
+    /// Addresses of peers whose incoming connections are in the handshake.
+    in_handshake: Mutex<FxHashSet<SocketAddr>>,
     counters: Counters,
     incoming: async_channel::Sender<Incoming<M>>,
 }
 
 impl<M: Payload> Node<M> {
-    /// Opens the socket and accepts connections from now on.
+    /// Opens the socket and starts to accept connections.
     ///
     /// # Errors
     ///
-    /// The address can't be bound, the identity is not that of the options' home, or can't be
-    /// used.
+    /// The address can't be bound, or the identity can't be used or is not that of the options' home.
     pub fn start(options: Options) -> Result<(Self, async_channel::Receiver<Incoming<M>>), Error> {
         options.identity.check(options.home.entry)?;
         let transport = Arc::new(options.transport());
@@ -106,7 +105,7 @@
             transport,
             client,
             dials: Mutex::default(),
-            arriving: Mutex::default(),
+            in_handshake: Mutex::default(),
             counters: Counters::default(),
             incoming,
         });
@@ -114,19 +113,20 @@
         Ok((Self { inner }, receiver))
     }
 
-    /// Keeps a connection to `entry`, which listens on `address`, until [`Node::forget`]. An
-    /// entry that has a connection already keeps it; the address counts from the next attempt on.
+    /// Keeps a connection to `entry`, which listens on `address`, until [`Node::forget`]. An existing
+    /// connection is kept; a new address is used from the next attempt on.
     pub fn connect(&self, entry: EntryId, address: SocketAddr) {
         self.keep(entry, address, Duration::ZERO);
     }
 
-    /// Like [`Node::connect`], but `entry` is about to connect to this node: it is left to do so for
-    /// `patience`, so that not both ends make a connection of which one is closed again.
-    pub fn expect(&self, entry: EntryId, address: SocketAddr, patience: Duration) {
-        self.keep(entry, address, patience);
+    /// Like [`Node::connect`], for an entry that is expected to connect to this node. The first attempt
+    /// is made only after `delay`, so that not both ends establish a connection, of which one would be
+    /// closed as a duplicate.
+    pub fn connect_after(&self, entry: EntryId, address: SocketAddr, delay: Duration) {
+        self.keep(entry, address, delay);
     }
 
-    fn keep(&self, entry: EntryId, address: SocketAddr, patience: Duration) {
+    fn keep(&self, entry: EntryId, address: SocketAddr, delay: Duration) {
         if entry == self.inner.options.home.entry {
             return;
         }
@@ -134,14 +134,13 @@
         match dials.get(&entry) {
             Some(dial) => dial.set_address(address),
             None => {
-                dials
-                    .insert(entry, dial::Dial::start(self.inner.clone(), entry, address, patience));
+                dials.insert(entry, dial::Dial::start(self.inner.clone(), entry, address, delay));
             }
         }
     }
 
-    /// Stops keeping a connection to `entry` and closes it if this end made it. One that the
-    /// entry made stays until that end closes it.
+    /// Stops keeping a connection to `entry`, and closes it if this node established it. A connection
+    /// that the entry established is kept until the entry closes it.
     pub fn forget(&self, entry: EntryId) {
         self.inner.dials.lock().remove(&entry);
         self.inner
@@ -152,12 +151,12 @@
             .for_each(|session| session.close(Code::Forgotten));
     }
 
-    /// Queues a message. Never waits.
+    /// Queues a message without waiting.
     ///
     /// # Errors
     ///
-    /// There is no connection to the peer, the message is longer than a frame may be, or the
-    /// queue is full; in that case the connection is closed.
+    /// There is no connection to the peer, the message exceeds the maximum size of a frame, or the queue
+    /// is full, in which case the connection is closed.
     pub fn send(&self, to: Home, message: &M) -> Result<(), Error> {
         let session = self.inner.table.get(to).ok_or(Error::NotConnected(to))?;
         let sent = session.send(message);
@@ -169,33 +168,32 @@
         sent
     }
 
-    /// Where this node accepts connections.
+    /// Returns the address where this node accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.inner.address
     }
 
-    /// The peers that are connected now, in no order.
+    /// Returns the connected peers, unordered.
     pub fn peers(&self) -> Vec<Home> {
         self.inner.table.all().iter().map(|session| session.peer()).collect()
     }
 
-    /// Where a connected peer says that it accepts connections.
+    /// Returns the addresses that a connected peer advertises; empty if it is not connected.
     pub fn addresses(&self, peer: Home) -> Vec<SocketAddr> {
         self.inner.table.get(peer).map(|s| s.addresses().to_vec()).unwrap_or_default()
     }
 
-    /// What went in and out since the start.
+    /// Returns the traffic counters since the start.
     pub fn traffic(&self) -> Traffic {
         let live = self.inner.table.all();
         self.inner.counters.traffic(live.iter().map(|session| session.datagrams()))
     }
 
-    /// Uses another certificate, key and authority for connections from now on. Connections that
-    /// are up stay.
+    /// Replaces certificate, key and authority for new connections. Established connections are kept.
     ///
     /// # Errors
     ///
-    /// The identity is not that of this node's home, or can't be used; the former one stays.
+    /// The identity can't be used or is not that of this node's home. The old one is then kept.
     pub fn set_identity(&self, identity: &Identity) -> Result<(), Error> {
         let inner = &self.inner;
         identity.check(inner.options.home.entry)?;
@@ -206,8 +204,8 @@
         Ok(())
     }
 
-    /// Lets queued messages arrive, for at most [`Options::close_timeout`], then closes all
-    /// connections. Nothing can be sent from now on.
+    /// Waits for at most [`Options::close_timeout`] until queued messages have arrived, then closes all
+    /// connections. No further messages can be sent.
     pub async fn close(&self) {
         let inner = &self.inner;
         inner.dials.lock().clear();
@@ -247,7 +245,7 @@
     Ok((endpoint, bound))
 }
 
-/// The output of `task`, or `None` when it takes longer than `limit`.
+/// Returns the output of `task`, or `None` if it takes longer than `limit`.
 async fn within<T>(limit: Duration, task: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
--- a/components/link/src/node/runtime.rs
+++ b/components/link/src/node/runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime of connections: `smol` with timers that cost no system call.
+//! Runtime for quinn: `smol`, with timers that need no system calls.
 
 use quinn::{AsyncTimer, AsyncUdpSocket, Runtime, SmolRuntime};
 use std::{
@@ -11,7 +11,7 @@
     time::Instant,
 };
 
-/// The runtime of connections.
+/// Runtime for quinn.
 #[derive(Debug)]
 pub(super) struct Smol;
 
--- a/components/link/src/node/session.rs
+++ b/components/link/src/node/session.rs
@@ -1,9 +1,9 @@
-//! One connection to one peer, from its hello to its end.
+//! An established connection to one peer, from the hello to its end.
 
 use super::{
     Incoming, Inner, Payload,
-    greeting::{CHUNK, Greeted, read_error, write_error},
-    outbox::{Batch, Full, Outbox},
+    handshake::{Established, READ_SIZE, read_error, write_error},
+    send_queue::{Batch, PushError, SendQueue},
     traffic::Datagrams,
 };
 use crate::{Code, Error, Options};
@@ -18,16 +18,16 @@
 };
 use wire::{Decoder, Hello};
 
-/// One connection to one peer.
+/// An established connection to one peer.
 #[derive(Debug)]
 pub(super) struct Session {
     hello: Hello,
-    /// This end made the connection.
+    /// Whether this node established the connection.
     dialled: bool,
     since: Instant,
     connection: Connection,
-    outbox: Outbox,
-    /// Closed at the end; carries nothing.
+    queue: SendQueue,
+    /// Closed when the session has ended; carries no messages.
     end: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
@@ -44,7 +44,7 @@
             dialled,
             since: Instant::now(),
             connection,
-            outbox: Outbox::new(options.limit, capacity.max(options.limit.bytes())),
+            queue: SendQueue::new(options.limit, capacity.max(options.limit.bytes())),
             end: async_channel::bounded(1),
         }
     }
@@ -61,7 +61,7 @@
         self.dialled
     }
 
-    /// Time since the hellos were exchanged.
+    /// Returns the time since the hellos were exchanged.
     pub(super) fn age(&self) -> Duration {
         self.since.elapsed()
     }
@@ -76,54 +76,54 @@
     }
 
     pub(super) fn send(&self, message: &impl Serialize) -> Result<(), Error> {
-        self.outbox.push(message).map_err(|full| match full {
-            Full::Closed => Error::NotConnected(self.peer()),
-            Full::Frame(error) => Error::Frame(error),
-            Full::Overflow => {
+        self.queue.push(message).map_err(|error| match error {
+            PushError::Closed => Error::NotConnected(self.peer()),
+            PushError::Frame(error) => Error::Frame(error),
+            PushError::Overflow => {
                 self.close(Code::Overflow);
                 Error::Overflow(self.peer())
             }
         })
     }
 
-    /// Ends the connection now.
+    /// Closes the connection at once.
     pub(super) fn close(&self, code: Code) {
-        self.outbox.close();
+        self.queue.close();
         self.connection.close(code.into(), b"");
     }
 
-    /// Ends the connection once everything queued has arrived.
+    /// Closes the connection after all queued messages have arrived.
     pub(super) fn finish(&self) {
-        self.outbox.close();
+        self.queue.close();
     }
 
-    /// Waits until the connection has ended and its owner has been told.
+    /// Waits until the connection has ended and its `Down` event was queued.
     pub(super) async fn finished(&self) {
-        // Nothing is ever sent, so this ends when the channel is closed.
+        // Nothing is ever sent, so this returns when the channel is closed.
         let _ = self.end.1.recv().await;
     }
 }
 
-/// Runs a connection that has its place in the table until it ends.
-pub(super) async fn run<M: Payload>(inner: Arc<Inner<M>>, greeted: Greeted) {
-    let Greeted { session, send, recv, decoder } = greeted;
+/// Runs a session that was added to the table until its connection ends.
+pub(super) async fn run<M: Payload>(inner: Arc<Inner<M>>, established: Established) {
+    let Established { session, send, recv, decoder } = established;
     let peer = session.peer();
     inner.counters.connected();
     tracing::info!(%peer, dialled = session.dialled, "connected");
-    tell(&inner, Incoming::Up { peer }).await;
+    emit(&inner, Incoming::Up { peer }).await;
     let reader = read(&inner, peer, recv, decoder);
-    let writer = write(&inner, &session.outbox, send);
+    let writer = write(&inner, &session.queue, send);
     let result = future::or(reader, writer).await;
     tracing::info!(%peer, end = %describe(&result), "disconnected");
     session.close(result.map_or_else(|error| error.code(), |()| Code::Done));
     inner.counters.ended(session.datagrams());
-    tell(&inner, Incoming::Down { peer }).await;
+    emit(&inner, Incoming::Down { peer }).await;
     inner.table.remove(peer);
     session.end.1.close();
 }
 
-async fn tell<M>(inner: &Inner<M>, event: Incoming<M>) {
-    // Without an owner nobody needs to know.
+async fn emit<M>(inner: &Inner<M>, event: Incoming<M>) {
+    // The receiver may have been dropped.
     let _ = inner.incoming.send(event).await;
 }
 
@@ -131,7 +131,7 @@
     result.as_ref().err().map_or_else(|| Code::Done.to_string(), Error::to_string)
 }
 
-/// Ends without an error when the peer ends its stream between two frames.
+/// Reads messages. Returns without an error when the peer ends its stream between two frames.
 async fn read<M: Payload>(
     inner: &Inner<M>,
     from: Home,
@@ -141,9 +141,9 @@
     loop {
         while let Some(frame) = decoder.take()? {
             inner.counters.received();
-            tell(inner, Incoming::Message { from, message: frame.message }).await;
+            emit(inner, Incoming::Message { from, message: frame.message }).await;
         }
-        let Some(chunk) = recv.read_chunk(CHUNK, true).await.map_err(read_error)? else {
+        let Some(chunk) = recv.read_chunk(READ_SIZE, true).await.map_err(read_error)? else {
             decoder.finish()?;
             return Ok(());
         };
@@ -152,11 +152,12 @@
     }
 }
 
-/// Ends without an error when everything has arrived and nothing more will be sent.
-async fn write<M>(inner: &Inner<M>, outbox: &Outbox, mut send: SendStream) -> Result<(), Error> {
+/// Writes queued messages. Returns without an error when all of them have arrived and the queue is
+/// closed.
+async fn write<M>(inner: &Inner<M>, queue: &SendQueue, mut send: SendStream) -> Result<(), Error> {
     let mut written = Vec::new();
     loop {
-        match outbox.next(written).await {
+        match queue.next(written).await {
             Batch::Write(batch) => {
                 send.write_all(&batch).await.map_err(write_error)?;
                 inner.counters.wrote(batch.len());
@@ -167,11 +168,11 @@
     }
 }
 
-/// Ends the stream and waits until the peer has it all.
+/// Ends the stream and waits until the peer has acknowledged it.
 async fn end(mut send: SendStream) -> Result<(), Error> {
-    // Fails only on a stream that has ended already.
+    // Fails only if the stream has already ended.
     let _ = send.finish();
-    // An error means that the connection is gone, so there is nothing left to wait for.
+    // An error means that the connection is lost, so there is nothing to wait for.
     let _ = send.stopped().await;
     Ok(())
 }
--- a/components/link/src/node/table.rs
+++ b/components/link/src/node/table.rs
@@ -1,4 +1,4 @@
-//! The connections that are up, at most one to a peer.
+//! The established sessions, at most one per peer.
 
 use super::session::Session;
 use crate::Code;
@@ -8,31 +8,31 @@
 use site::id::{EntryId, Home};
 use std::{sync::Arc, time::Duration};
 
-/// Connections were made at once if no more time lies between them. Above the differences in time
-/// between the two ends of one.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Two connections count as simultaneous if the second was established within this time after the
+/// first. Longer than the difference between the times at which both ends see a connection established.
+const SIMULTANEOUS_CONNECT_WINDOW: Duration = Duration::from_millis(200);
 
-/// The connections that are up, at most one to a peer.
+/// The established sessions, at most one per peer.
 #[derive(Debug)]
 pub(super) struct Table {
     own: Home,
     sessions: RwLock<FxHashMap<Home, Arc<Session>>>,
-    /// Notified when a connection gets its place.
-    entered: Event,
+    /// Notified when a session is added.
+    inserted: Event,
 }
 
-/// What became of a connection that wants its place.
+/// Result of an attempt to add a session.
 #[derive(Debug)]
-enum Claim {
-    Won,
-    Lost,
-    /// The one that has the place is ending; claim again after that.
+enum Insertion {
+    Inserted,
+    Rejected,
+    /// The existing session is ending; try again after it has ended.
     Wait(Arc<Session>),
 }
 
 impl Table {
     pub(super) fn new(own: Home) -> Self {
-        Self { own, sessions: RwLock::default(), entered: Event::new() }
+        Self { own, sessions: RwLock::default(), inserted: Event::new() }
     }
 
     pub(super) fn get(&self, peer: Home) -> Option<Arc<Session>> {
@@ -48,14 +48,14 @@
         sessions.values().filter(|session| session.peer().entry == entry).cloned().collect()
     }
 
-    /// Waits until there is a connection to a process of `entry`.
+    /// Waits until there is a session with a process of `entry`.
     pub(super) async fn wait_for(&self, entry: EntryId) -> Arc<Session> {
         loop {
-            let entered = self.entered.listen();
+            let inserted = self.inserted.listen();
             if let Some(session) = self.of_entry(entry).into_iter().next() {
                 return session;
             }
-            entered.await;
+            inserted.await;
         }
     }
 
@@ -63,39 +63,41 @@
         self.sessions.write().remove(&peer);
     }
 
-    /// Gives `new` its place, after the end of one that it supersedes. Returns whether it got it.
-    pub(super) async fn enter(&self, new: &Arc<Session>) -> bool {
+    /// Adds `new`, after the end of a session that it supersedes. Returns false if an existing session is
+    /// kept instead.
+    pub(super) async fn insert(&self, new: &Arc<Session>) -> bool {
         loop {
-            match self.claim(new) {
-                Claim::Won => return true,
-                Claim::Lost => return false,
-                Claim::Wait(old) => old.finished().await,
+            match self.try_insert(new) {
+                Insertion::Inserted => return true,
+                Insertion::Rejected => return false,
+                Insertion::Wait(old) => old.finished().await,
             }
         }
     }
 
-    fn claim(&self, new: &Arc<Session>) -> Claim {
+    fn try_insert(&self, new: &Arc<Session>) -> Insertion {
         let mut sessions = self.sessions.write();
         let Some(old) = sessions.get(&new.peer()) else {
             sessions.insert(new.peer(), new.clone());
             drop(sessions);
-            self.entered.notify(usize::MAX);
-            return Claim::Won;
+            self.inserted.notify(usize::MAX);
+            return Insertion::Inserted;
         };
         if old.is_open() && !supersedes(self.own, new, old) {
-            return Claim::Lost;
+            return Insertion::Rejected;
         }
         old.close(Code::Duplicate);
-        Claim::Wait(old.clone())
+        Insertion::Wait(old.clone())
     }
 }
 
-/// Which of two connections between the same processes survives. Both ends compute the same: of two
-/// that the same end made the later one, since that end would not have made it while it had the other;
-/// of two that were made at once the one of the smaller home; else the one that is in use.
+/// Whether `new` replaces `old`, another connection between the same processes. Both ends decide the
+/// same. Of two connections that the same end established, the later one is kept, since that end would
+/// not have established it while it had the other. Of two simultaneous ones, that of the smaller home is
+/// kept; otherwise the one that is already in use.
 fn supersedes(own: Home, new: &Session, old: &Session) -> bool {
     if new.dialled() == old.dialled() {
         return true;
     }
-    old.age() < AT_ONCE && new.dialled() == (own < new.peer())
+    old.age() < SIMULTANEOUS_CONNECT_WINDOW && new.dialled() == (own < new.peer())
 }
--- a/components/link/src/node/traffic.rs
+++ b/components/link/src/node/traffic.rs
@@ -1,32 +1,32 @@
-//! Counters of a node.
+//! Traffic counters of a node.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// What went in and out of a node since its start.
+/// Traffic of a node since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Traffic {
-    /// Messages that were received.
+    /// Number of messages received.
     pub messages_in: u64,
-    /// Messages that were queued for sending.
+    /// Number of messages queued for sending.
     pub messages_out: u64,
-    /// Bytes of frames received, with their prefixes.
+    /// Bytes of frames received, including their length prefixes.
     pub bytes_in: u64,
-    /// Bytes of frames written, with their prefixes.
+    /// Bytes of frames written, including their length prefixes.
     pub bytes_out: u64,
     /// Bytes of UDP payload received on authenticated connections: frames, acknowledgements,
     /// probes and handshakes.
     pub datagram_bytes_in: u64,
     /// Bytes of UDP payload sent on authenticated connections.
     pub datagram_bytes_out: u64,
-    /// Connections that came up.
+    /// Number of connections established.
     pub connections: u64,
-    /// Connections that could not be made or accepted.
+    /// Number of connections that could not be established or accepted.
     pub failures: u64,
-    /// Connections that were closed since too much was queued.
+    /// Number of connections closed because their send queue exceeded its limit.
     pub overflows: u64,
 }
 
-/// Bytes of UDP payload that one connection received and sent.
+/// Bytes of UDP payload of one connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Datagrams {
     pub(super) received: u64,
@@ -39,9 +39,9 @@
     messages_out: AtomicU64,
     bytes_in: AtomicU64,
     bytes_out: AtomicU64,
-    /// Of connections that have ended.
+    /// Sum over connections that have ended.
     datagram_bytes_in: AtomicU64,
-    /// Of connections that have ended.
+    /// Sum over connections that have ended.
     datagram_bytes_out: AtomicU64,
     connections: AtomicU64,
     failures: AtomicU64,
--- a/components/link/src/options.rs
+++ b/components/link/src/options.rs
@@ -6,49 +6,49 @@
 use std::{net::SocketAddr, time::Duration};
 use wire::Limit;
 
-/// Round-trip time to assume before the first measurement. Sites are small.
+/// Assumed round-trip time before the first measurement. Sites are small.
 const INITIAL_RTT: Duration = Duration::from_millis(50);
 
-/// Bytes of a stream that may be in flight, and that a receiver holds for a slow reader.
-const WINDOW: u32 = 1 << 20;
+/// Flow control window in bytes: the maximum in flight, and buffered by a receiver for a slow reader.
+const FLOW_CONTROL_WINDOW: u32 = 1 << 20;
 
 /// Options of a [`crate::Node`].
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The own process; its entry must be the one that the certificate names.
+    /// This process; its entry must be the one that the certificate names.
     pub home: Home,
     /// UDP address to listen on and connect from.
     pub listen: SocketAddr,
-    /// Addresses to tell peers; the listening address if empty.
+    /// Addresses to advertise to peers; if empty, the listening address.
     pub addresses: Vec<SocketAddr>,
-    /// Proves which entry this is, and which peers to trust.
+    /// Certificate and key of this entry, and the authorities that it trusts.
     pub identity: Identity,
-    /// Longest frame to send or accept.
+    /// Maximum size of a frame to send or accept.
     pub limit: Limit,
-    /// Most bytes queued for one peer; above this its connection is closed. At least the limit
-    /// of a frame.
+    /// Maximum size of the send queue of one peer; its connection is closed when the queue exceeds it.
+    /// At least the maximum size of a frame.
     pub queue: Memory,
-    /// Most incoming messages and events that wait for the consumer. When they are full, peers
-    /// are slowed down.
+    /// Capacity of the queue of incoming messages and events. While it is full, nothing is read from
+    /// peers.
     pub backlog: usize,
-    /// A connection is lost after this time without a packet from the peer.
+    /// Time without a packet from the peer after which a connection is lost.
     pub idle_timeout: Duration,
-    /// An idle connection is probed after this time. Well below `idle_timeout`.
+    /// Time after which an idle connection is probed. Well below `idle_timeout`.
     pub keep_alive: Duration,
-    /// Time for the handshake and the hello.
+    /// Timeout of the TLS handshake, and of the exchange of hellos.
     pub handshake_timeout: Duration,
-    /// First pause between two attempts to connect; doubles up to `max_backoff`, with jitter.
+    /// Initial pause between two attempts to connect; it doubles up to `max_backoff`, with jitter.
     pub min_backoff: Duration,
-    /// Longest pause between two attempts to connect.
+    /// Maximum pause between two attempts to connect.
     pub max_backoff: Duration,
-    /// Time that [`crate::Node::close`] gives queued messages to arrive.
+    /// Time for which [`crate::Node::close`] waits until queued messages have arrived.
     pub close_timeout: Duration,
-    /// Most connections of peers that are not authenticated yet.
+    /// Maximum number of incoming connections whose peers are not yet authenticated.
     pub max_pending: usize,
 }
 
 impl Options {
-    /// Options with defaults for all but the first three.
+    /// Returns options with defaults for all other fields.
     pub fn new(home: Home, listen: SocketAddr, identity: Identity) -> Self {
         Self {
             home,
@@ -78,9 +78,9 @@
             .max_idle_timeout(Some(IdleTimeout::from(idle)))
             .keep_alive_interval(Some(self.keep_alive))
             .initial_rtt(INITIAL_RTT)
-            .stream_receive_window(VarInt::from_u32(WINDOW))
-            .receive_window(VarInt::from_u32(WINDOW))
-            .send_window(u64::from(WINDOW));
+            .stream_receive_window(VarInt::from_u32(FLOW_CONTROL_WINDOW))
+            .receive_window(VarInt::from_u32(FLOW_CONTROL_WINDOW))
+            .send_window(u64::from(FLOW_CONTROL_WINDOW));
         transport
     }
 }
--- a/components/link/src/tls/config.rs
+++ b/components/link/src/tls/config.rs
@@ -1,4 +1,4 @@
-//! Settings of quinn for an identity.
+//! TLS and QUIC configuration for an identity.
 
 use super::{Error, Identity};
 use quinn::{
@@ -11,11 +11,11 @@
 };
 use std::sync::Arc;
 
-/// Names the protocol to TLS, so that other QUIC services are not mistaken for an entry.
+/// Protocol name for ALPN, so that other QUIC services are not mistaken for an entry.
 const ALPN: &[u8] = b"primrosestep";
 
 impl Identity {
-    /// Settings for connecting. Servers must prove that they are the entry asked for.
+    /// Returns the configuration for connecting. The peer must prove that it is the requested entry.
     pub fn client(&self, transport: Arc<TransportConfig>) -> Result<ClientConfig, Error> {
         let mut tls = rustls::ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])
@@ -24,7 +24,7 @@
             .with_client_auth_cert(self.chain.clone(), self.key.clone_key())
             .map_err(Error::Pair)?;
         tls.alpn_protocols = vec![ALPN.to_vec()];
-        // A resumed session would skip the check of a certificate that was replaced.
+        // A resumed session would skip the verification of a replaced certificate.
         tls.resumption = Resumption::disabled();
         let quic = QuicClientConfig::try_from(tls).map_err(|_| Error::Suite)?;
         let mut config = ClientConfig::new(Arc::new(quic));
@@ -32,7 +32,7 @@
         Ok(config)
     }
 
-    /// Settings for accepting. Clients must have a certificate of the authority.
+    /// Returns the configuration for accepting. Peers must have a certificate of the authority.
     pub fn server(&self, transport: Arc<TransportConfig>) -> Result<ServerConfig, Error> {
         let verifier =
             WebPkiClientVerifier::builder_with_provider(self.authorities.clone(), provider())
--- a/components/link/src/tls/error.rs
+++ b/components/link/src/tls/error.rs
@@ -1,4 +1,4 @@
-//! Why certificates or keys can't be used.
+//! Errors of certificates and keys.
 
 use derive_more::{Display, Error};
 use rustls::pki_types::pem;
@@ -11,51 +11,51 @@
     /// A file can't be read.
     #[display("{}: can't read: {source}", path.display())]
     Read {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is not PEM, or lacks what it should hold.
+    /// A file is not PEM, or does not contain the expected object.
     #[display("{}: expected {expected} in PEM format: {source}", path.display())]
     Pem {
-        /// Which; empty when the text came from elsewhere.
+        /// Path of the file; empty if the text is not from a file.
         path: PathBuf,
-        /// What it should hold.
+        /// The object that was expected in the file.
         expected: &'static str,
-        /// Why.
+        /// Error of the PEM parser.
         source: pem::Error,
     },
-    /// The authority's certificate can't be trusted as one.
+    /// The certificate can't be used as that of an authority.
     #[display("{}: not a certificate of an authority: {source}", path.display())]
     Authority {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Reason why it was rejected.
         source: rustls::Error,
     },
-    /// The file with the authority's certificate holds none.
+    /// The file contains no certificate.
     #[display("{}: holds no certificate", path.display())]
     Empty {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// Certificate and key can't be used together.
+    /// The certificate and the key can't be used together.
     #[display("the certificate and its key can't be used: {_0}")]
     Pair(rustls::Error),
     /// The verifier of peers can't be built.
     #[display("the authority can't be used to verify peers: {_0}")]
     Verifier(rustls::server::VerifierBuilderError),
-    /// The cryptography lacks what QUIC needs.
+    /// The cryptography provider has no cipher suite for QUIC.
     #[display("no cipher suite for QUIC")]
     Suite,
     /// The certificate is for another entry.
-    #[display("the certificate does not name {}; issue one for this entry", super::name(*entry))]
+    #[display("the certificate does not name {}; issue one for this entry", super::dns_name(*entry))]
     Name {
-        /// The entry that should be named.
+        /// The entry that the certificate should name.
         entry: EntryId,
     },
-    /// A certificate can't be made.
+    /// A certificate can't be issued.
     #[display("can't issue a certificate: {_0}")]
     Issue(rcgen::Error),
 }
--- a/components/link/src/tls/identity.rs
+++ b/components/link/src/tls/identity.rs
@@ -1,6 +1,6 @@
-//! An entry's certificate, its key, and the authority that it trusts.
+//! Certificate and key of an entry, and the authorities that it trusts.
 
-use super::{Error, names};
+use super::{Error, has_dns_name};
 use rustls::{
     RootCertStore,
     pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject},
@@ -15,18 +15,18 @@
 /// The PEM files of an identity.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Files {
-    /// Certificates of the authorities to trust; several while one replaces another.
+    /// Certificates of the trusted authorities; several during the replacement of an authority.
     pub authority: PathBuf,
-    /// The entry's certificate, then any between it and the authority.
+    /// The entry's certificate, followed by intermediate certificates.
     pub certificate: PathBuf,
     /// The key of the entry's certificate.
     pub key: PathBuf,
 }
 
-/// An entry's certificate, its key, and the authorities that it trusts.
+/// Certificate and key of an entry, and the authorities that it trusts.
 #[derive(Clone)]
 pub struct Identity {
-    /// The entry's own first; not empty.
+    /// The entry's certificate, followed by intermediate certificates; not empty.
     pub(super) chain: Vec<CertificateDer<'static>>,
     pub(super) key: Arc<PrivateKeyDer<'static>>,
     /// Not empty.
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// Names the file that is missing or wrong.
+    /// A file is missing or invalid; the error names it.
     pub fn load(files: &Files) -> Result<Self, Error> {
         Ok(Self {
             authorities: authorities(&files.authority, &read(&files.authority)?)?,
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Takes the contents of PEM files; errors name no file.
+    /// Parses the contents of PEM files; errors name no file.
     pub fn from_pem(authority: &str, certificate: &str, private_key: &str) -> Result<Self, Error> {
         let nowhere = Path::new("");
         Ok(Self {
@@ -57,16 +57,16 @@
         })
     }
 
-    /// Checks that the certificate is for `entry`.
+    /// Checks that the certificate names `entry`.
     pub fn check(&self, entry: EntryId) -> Result<(), Error> {
         match self.chain.first() {
-            Some(own) if names(own, entry) => Ok(()),
+            Some(own) if has_dns_name(own, entry) => Ok(()),
             _ => Err(Error::Name { entry }),
         }
     }
 }
 
-/// Leaves the key out.
+/// Omits the private key.
 impl fmt::Debug for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Identity").field("chain", &self.chain.len()).finish_non_exhaustive()
--- a/components/link/src/tls/issue.rs
+++ b/components/link/src/tls/issue.rs
@@ -1,6 +1,6 @@
-//! A small authority that issues the entries' certificates.
+//! A certificate authority that issues the entries' certificates.
 
-use super::{Error, name};
+use super::{Error, dns_name};
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose,
@@ -8,16 +8,16 @@
 use site::id::EntryId;
 use std::time::{Duration, SystemTime};
 
-/// How long an authority's certificate is valid; no other certificate is valid for longer.
+/// Validity of an authority's certificate, and maximum validity of other certificates.
 pub const AUTHORITY_LIFETIME: Duration = Duration::from_secs(3_650 * 86_400);
 
-/// How long an entry's certificate is valid unless the caller says otherwise.
+/// Default validity of an entry's certificate.
 pub const ENTRY_LIFETIME: Duration = Duration::from_secs(90 * 86_400);
 
-/// Certificates are valid from this long before they are made, since clocks differ.
+/// Time by which the validity of a certificate begins before its creation, since clocks differ.
 const CLOCK_MARGIN: Duration = Duration::from_secs(3_600);
 
-/// Name of every authority. [`Authority::issue`] relies on it being the same for all.
+/// Common name of all authorities. [`Authority::issue`] depends on it being the same for all.
 const AUTHORITY_NAME: &str = "primrosestep authority";
 
 /// A certificate and its key, both in PEM format.
@@ -25,26 +25,26 @@
 pub struct Pair {
     /// The certificate.
     pub certificate: String,
-    /// The private key. Not to be logged.
+    /// The private key. Must not be logged.
     pub key: String,
 }
 
-/// An authority.
+/// A certificate authority.
 #[derive(Clone)]
 pub struct Authority {
-    /// Its own certificate and key. The certificate goes to all entries, the key to none.
+    /// Certificate and key of the authority. Entries need only the certificate.
     pub pair: Pair,
 }
 
 impl Authority {
-    /// Makes a new authority.
+    /// Creates an authority with a new key.
     pub fn create() -> Result<Self, Error> {
         let key = KeyPair::generate().map_err(Error::Issue)?;
         let certificate = authority_params().self_signed(&key).map_err(Error::Issue)?;
         Ok(Self { pair: Pair { certificate: certificate.pem(), key: key.serialize_pem() } })
     }
 
-    /// An authority that [`Authority::create`] made before.
+    /// Returns an authority that was created by [`Authority::create`].
     pub fn from_pem(certificate: String, key: String) -> Self {
         Self { pair: Pair { certificate, key } }
     }
@@ -70,7 +70,7 @@
 }
 
 fn entry_params(entry: EntryId, lifetime: Duration) -> Result<CertificateParams, Error> {
-    let name = name(entry);
+    let name = dns_name(entry);
     let mut params = CertificateParams::new([name.clone()]).map_err(Error::Issue)?;
     params.distinguished_name.push(DnType::CommonName, name);
     params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
--- a/components/link/src/tls/mod.rs
+++ b/components/link/src/tls/mod.rs
@@ -1,7 +1,7 @@
-//! Certificates: who an entry is and whom it trusts.
+//! Certificates that identify entries, and their verification.
 //!
 //! Each entry has a certificate signed by the site's authority. Its subject alternative name is
-//! the DNS name that [`name`] makes of the entry's identifier.
+//! the DNS name that [`dns_name`] derives from the entry's identifier.
 
 mod config;
 mod error;
@@ -18,14 +18,14 @@
 };
 use site::id::EntryId;
 
-/// The name that the certificate of `entry` carries: its identifier in hexadecimal, then `.entry`.
-pub fn name(entry: EntryId) -> String {
+/// Returns the DNS name in the certificate of `entry`: its identifier in hexadecimal, then `.entry`.
+pub fn dns_name(entry: EntryId) -> String {
     format!("{:x}.entry", entry.0)
 }
 
-/// Whether `certificate` names `entry`. Says nothing about who signed it.
-pub fn names(certificate: &CertificateDer<'_>, entry: EntryId) -> bool {
+/// Returns whether `certificate` names `entry`. Does not verify the signature.
+pub fn has_dns_name(certificate: &CertificateDer<'_>, entry: EntryId) -> bool {
     let Ok(parsed) = ParsedCertificate::try_from(certificate) else { return false };
-    let Ok(name) = ServerName::try_from(name(entry)) else { return false };
+    let Ok(name) = ServerName::try_from(dns_name(entry)) else { return false };
     verify_server_name(&parsed, &name).is_ok()
 }
--- a/components/link/tests/common/mod.rs
+++ b/components/link/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes on loopback with certificates of a fresh authority.
+//! Nodes on loopback with certificates of a new authority.
 
-// Each test file uses its own part of this.
+// Each test file uses only a part.
 #![allow(dead_code, unreachable_pub)]
 
 use async_channel::Receiver;
@@ -20,8 +20,8 @@
 use smol::Timer;
 use std::{net::SocketAddr, time::Duration};
 
-/// A test that waits longer than this for one event hangs.
-const HANGS: Duration = Duration::from_secs(30);
+/// Timeout of the wait for one event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Peer {
     pub home: Home,
@@ -66,15 +66,15 @@
     }
 
     pub async fn next(&self) -> Incoming<Message> {
-        let hang = async {
-            Timer::after(HANGS).await;
+        let timeout = async {
+            Timer::after(EVENT_TIMEOUT).await;
             panic!("{} waits for an event that does not come", self.home)
         };
         let event = async { self.incoming.recv().await.expect("the node runs") };
-        future::or(event, hang).await
+        future::or(event, timeout).await
     }
 
-    /// The next peer to come up; nothing but failures may come before.
+    /// Returns the next peer that connects. Only failures may come before.
     pub async fn up(&self) -> Home {
         loop {
             match self.next().await {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The next peer to go down; messages may come before.
+    /// Returns the next peer that disconnects. Only messages and failures may come before.
     pub async fn down(&self) -> Home {
         loop {
             match self.next().await {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The next message, by its number.
+    /// Returns the sender and the number of the next message.
     pub async fn message(&self) -> (Home, u64) {
         match self.next().await {
             Incoming::Message { from, message } => (from, number_of(&message)),
@@ -132,7 +132,7 @@
     Message::Settings(Settings { revision: Revision(1), files: vec![file], ..Settings::default() })
 }
 
-/// Two peers, connected.
+/// Returns two connected peers.
 pub async fn pair(authority: &Authority) -> (Peer, Peer) {
     let (one, two) = (Peer::new(authority, 1), Peer::new(authority, 2));
     one.connect(&two);
--- a/components/link/tests/exchange.rs
+++ b/components/link/tests/exchange.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Sends a message until it arrives: connecting at once may replace a connection, and the sender
-/// is told when the one that it used is lost.
+/// Sends a message until it arrives. Simultaneous connects may replace a connection; the sender then
+/// gets `Down` for the one that it used.
 async fn send_until_up(from: &Peer, to: &Peer) {
     loop {
         let sent = from.node.send(to.home, &numbered(7)).is_ok();
@@ -84,14 +84,14 @@
 }
 
 #[test]
-fn connecting_at_once_leaves_one_connection() {
+fn simultaneous_connects_leave_one_connection() {
     block_on(async {
         let authority = authority();
         for _ in 0..10 {
             let (one, two) = (Peer::new(&authority, 1), Peer::new(&authority, 2));
             one.connect(&two);
             two.connect(&one);
-            // Whatever was replaced before, this arrives.
+            // The messages arrive, whichever connection was replaced before.
             send_until_up(&one, &two).await;
             send_until_up(&two, &one).await;
             wait_for_peers(&one, 1).await;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_frame_near_the_limit_passes_and_one_above_does_not() {
+fn a_frame_below_the_limit_is_sent_and_one_above_is_rejected() {
     block_on(async {
         let (one, two) = pair(&authority()).await;
         let near = large(wire::MAX_FRAME - 64);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_dropped() {
+fn a_peer_that_does_not_read_is_disconnected() {
     block_on(async {
         let authority = authority();
         let one = Peer::start(link::Options {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_stranger_is_not_connected() {
+fn sending_to_an_unknown_peer_is_an_error() {
     block_on(async {
         let (one, _two) = pair(&authority()).await;
         let stranger: Home = home(9, 9);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn closing_lets_queued_messages_arrive() {
+fn queued_messages_arrive_before_a_close() {
     block_on(async {
         let (one, two) = pair(&authority()).await;
         for number in 0..1_000 {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn forgetting_closes_the_connection_that_was_made() {
+fn forget_closes_the_connection_that_this_node_established() {
     block_on(async {
         let (one, two) = pair(&authority()).await;
         one.node.forget(two.home.entry);
--- a/components/link/tests/failure.rs
+++ b/components/link/tests/failure.rs
@@ -1,4 +1,4 @@
-//! Hostile, silent and restarted peers.
+//! Malicious, unresponsive and restarted peers.
 
 mod common;
 
@@ -22,13 +22,13 @@
     Authority::create().expect("an authority")
 }
 
-/// Connects to `target` with a valid certificate, but without the code of a node.
+/// Connects to `target` with a valid certificate through quinn, without a node.
 async fn raw(authority: &Authority, target: &Peer) -> (Endpoint, Connection) {
     let socket = net::UdpSocket::bind(loopback()).expect("a socket");
     let endpoint = Endpoint::new(EndpointConfig::default(), None, socket, Arc::new(SmolRuntime));
     let endpoint = endpoint.expect("an endpoint");
     let client = identity(authority, 1).client(Arc::default()).expect("valid");
-    let name = tls::name(target.home.entry);
+    let name = tls::dns_name(target.home.entry);
     let connecting = endpoint.connect_with(client, target.node.address(), &name);
     let connection = connecting.expect("it is tried").await.expect("it is trusted");
     (endpoint, connection)
@@ -41,7 +41,7 @@
     bytes
 }
 
-/// The code that a node closes the connection with after these bytes.
+/// Returns the code with which a node closes the connection after these bytes, and its events.
 async fn answer_to(bytes: &[u8]) -> (Code, Vec<Incoming<Message>>) {
     let authority = authority();
     let target = Peer::start(Options {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_malformed_frame_closes_with_its_code() {
+fn a_malformed_frame_closes_the_connection() {
     block_on(async {
         let garbage = [&hello(home(1, 1))[..], &[2, 0, 0, 0, VERSION, 120]].concat();
         let (code, events) = answer_to(&garbage).await;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn another_version_closes_with_its_code() {
+fn another_protocol_version_closes_the_connection() {
     block_on(async {
         let mut bytes = hello(home(1, 1));
         bytes[wire::frame::PREFIX] = VERSION + 1;
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_claimed_length_above_the_limit_closes_with_its_code() {
+fn a_length_above_the_limit_closes_the_connection() {
     block_on(async {
         let bytes = [&hello(home(1, 1))[..], &u32::MAX.to_le_bytes()].concat();
         assert_eq!(answer_to(&bytes).await.0, Code::TooLarge);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_hello_for_another_entry_closes_with_its_code() {
+fn a_hello_for_another_entry_closes_the_connection() {
     block_on(async {
         let (code, events) = answer_to(&hello(home(3, 1))).await;
         assert_eq!(code, Code::Identity);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_hello_that_does_not_come_closes_with_its_code() {
+fn a_missing_hello_closes_the_connection() {
     block_on(async {
         let authority = authority();
         let target = Peer::start(Options {
@@ -127,7 +127,7 @@
     });
 }
 
-/// Passes datagrams between one peer and `target` until it is cut.
+/// Forwards datagrams between one peer and `target` until `cut` is set.
 struct Relay {
     address: SocketAddr,
     cut: Arc<AtomicBool>,
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_connection_that_goes_silent_is_noticed_at_both_ends() {
+fn both_ends_detect_a_connection_without_packets() {
     block_on(async {
         let authority = authority();
         let quick = |entry| Options {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_restarted_peer_comes_up_with_its_new_incarnation() {
+fn a_restarted_peer_connects_with_its_new_incarnation() {
     block_on(async {
         let authority = authority();
         let (one, two) = common::pair(&authority).await;
@@ -203,7 +203,7 @@
     });
 }
 
-/// The former socket may take a moment to be closed.
+/// Starts a node on the address of an earlier one, whose socket may still be open for a moment.
 async fn restart(options: Options) -> Peer {
     let home = options.home;
     loop {
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_peer_that_never_answers_is_tried_again_and_again() {
+fn connecting_to_an_unresponsive_address_is_retried() {
     block_on(async {
         let authority = authority();
         let one = Peer::start(Options {
--- a/components/link/tests/startup.rs
+++ b/components/link/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Nodes that start together: each pair is to make one connection.
+//! Nodes that start at the same time: each pair should establish one connection.
 
 mod common;
 
@@ -13,8 +13,8 @@
     time::{Duration, Instant},
 };
 
-/// Longer than any test.
-const EVER: Duration = Duration::from_secs(600);
+/// Delay that is longer than any test.
+const LONG_DELAY: Duration = Duration::from_secs(600);
 
 fn peers() -> (Peer, Peer) {
     let authority = Authority::create().expect("an authority");
@@ -22,28 +22,28 @@
 }
 
 #[test]
-fn an_expected_node_makes_the_connection() {
+fn a_delayed_node_is_connected_to_by_its_peer() {
     block_on(async {
         let (one, two) = peers();
-        one.node.expect(two.home.entry, two.node.address(), EVER);
+        one.node.connect_after(two.home.entry, two.node.address(), LONG_DELAY);
         two.connect(&one);
         assert_eq!((one.up().await, two.up().await), (two.home, one.home));
     });
 }
 
 #[test]
-fn an_expected_node_that_does_not_connect_is_connected_to() {
+fn a_node_connects_after_its_delay() {
     block_on(async {
         let (one, two) = peers();
-        one.node.expect(two.home.entry, two.node.address(), Duration::from_millis(50));
+        one.node.connect_after(two.home.entry, two.node.address(), Duration::from_millis(50));
         assert_eq!((one.up().await, two.up().await), (two.home, one.home));
     });
 }
 
-/// An attempt that is still without an answer must not replace the connection that the other end made
-/// meanwhile, when its packets are sent again.
+/// An attempt without a response retransmits its packets. It must not replace the connection that the
+/// peer has established meanwhile.
 #[test]
-fn an_attempt_ends_when_the_other_node_has_connected() {
+fn an_attempt_ends_when_the_peer_has_connected() {
     block_on(async {
         let authority = Authority::create().expect("an authority");
         let hasty = |entry| {
@@ -51,7 +51,7 @@
             options.handshake_timeout = Duration::from_millis(400);
             Peer::start(options)
         };
-        // Of two connections the smaller home's would stay.
+        // Of two simultaneous connections, that of the smaller home is kept.
         let (one, two) = (hasty(2), hasty(1));
         let silent = UdpSocket::bind(common::loopback()).expect("a socket");
         one.node.connect(two.home.entry, silent.local_addr().expect("an address"));
@@ -68,9 +68,9 @@
     });
 }
 
-/// Both ends connect at the same moment, again and again: whichever connection stays, it stays.
+/// Both ends connect at the same time: at most one connection may be replaced.
 #[test]
-fn nodes_that_connect_at_once_settle_on_one_connection() {
+fn simultaneous_connects_establish_at_most_two_connections() {
     block_on(async {
         for _ in 0..30 {
             let (one, two) = peers();
@@ -86,7 +86,7 @@
     });
 }
 
-/// Forwards datagrams to `to` and back, those of the first half second late.
+/// Forwards datagrams to `to` and back. Those of the first half second to `to` are delayed.
 fn slow_relay(to: SocketAddr) -> SocketAddr {
     let outer = UdpSocket::bind(common::loopback()).expect("a socket");
     let inner = UdpSocket::bind(common::loopback()).expect("a socket");
@@ -114,9 +114,10 @@
     address
 }
 
-/// The smaller home's connection would stay if both were made at once.
+/// A connection whose handshake takes long must not replace one in use, although it is that of the
+/// smaller home, which is kept if both are established simultaneously.
 #[test]
-fn a_connection_in_use_is_not_replaced_by_one_that_took_long() {
+fn a_connection_in_use_is_not_replaced_by_a_slow_one() {
     block_on(async {
         let (one, two) = peers();
         one.node.connect(two.home.entry, slow_relay(two.node.address()));
--- a/components/link/tests/trust.rs
+++ b/components/link/tests/trust.rs
@@ -1,4 +1,4 @@
-//! Who is let in, and whose certificate may be used.
+//! Authentication of peers, and validation of certificates.
 
 mod common;
 
@@ -36,7 +36,7 @@
         let (ours, theirs) = (authority(), authority());
         let two = Peer::new(&ours, 2);
         let pair = theirs.issue(EntryId(1), ENTRY_LIFETIME).expect("a certificate");
-        // It trusts the server, but the server must not trust it.
+        // The client trusts the other node, which must not trust the client.
         let intruder = Identity::from_pem(&ours.pair.certificate, &pair.certificate, &pair.key);
         let options = Options::new(home(1, 1), loopback(), intruder.expect("valid"));
         let one = Peer::start(options);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_certificate_of_another_entry_does_not_start() {
+fn a_node_does_not_start_with_the_certificate_of_another_entry() {
     let authority = authority();
     let options = Options::new(home(1, 1), loopback(), identity(&authority, 2));
     let refusal = Node::<Message>::start(options).map(|_| ());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_key_of_another_certificate_does_not_start() {
+fn a_node_does_not_start_with_the_key_of_another_certificate() {
     let authority = authority();
     let issue = || authority.issue(EntryId(1), ENTRY_LIFETIME).expect("a certificate");
     let (one, other) = (issue(), issue());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_new_identity_keeps_connections_and_serves_new_ones() {
+fn a_new_identity_is_used_for_new_connections_only() {
     block_on(async {
         let (old, new) = (authority(), authority());
         let (one, two) = pair(&old).await;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_authority_that_was_stored_issues_again() {
+fn a_stored_authority_can_issue_certificates() {
     block_on(async {
         let made = authority();
         let stored = Authority::from_pem(made.pair.certificate.clone(), made.pair.key.clone());
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn files_are_named_in_errors() {
+fn errors_name_the_file() {
     let folder = Folder::new("files");
     let pair = authority();
     let issued = pair.issue(EntryId(1), ENTRY_LIFETIME).expect("a certificate");
@@ -134,7 +134,7 @@
     Identity::load(files).expect_err("it is wrong").to_string()
 }
 
-/// A folder that is removed at the end.
+/// A temporary folder that is removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
