--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 use platform::{
     Store,
-    claim::{Batch, Budget, Claim, Error, Now, Timestamp},
+    claim::{Batch, Claim, Error, Now, RateLimiter, Timestamp},
 };
 use site::{
     id::{FirmId, SubmissionId, WaiterId},
@@ -56,7 +56,7 @@
 /// Commits the claims that an engine requests. Returns once the engine is dropped.
 pub(crate) async fn run(engine: Arc<Engine>, store: Arc<dyn Store>) {
     let requests = engine.claims();
-    let budget = Arc::new(Budget::new(WRITES_PER_SECOND, WRITE_BURST));
+    let budget = Arc::new(RateLimiter::new(WRITES_PER_SECOND, WRITE_BURST));
     while let Ok(first) = requests.recv().await {
         Timer::after(ROUND_DELAY).await;
         let round = collect_round(first, &requests);
@@ -103,7 +103,7 @@
 }
 
 impl Commit {
-    async fn run(self, budget: Arc<Budget>) {
+    async fn run(self, budget: Arc<RateLimiter>) {
         let late = async {
             Timer::after(Duration::from_micros(self.time_left().0)).await;
             tracing::warn!(claims = self.requests.len(), "claims not settled in time");
@@ -112,14 +112,14 @@
         self.commit(budget).or(late).await;
     }
 
-    async fn commit(&self, budget: Arc<Budget>) {
+    async fn commit(&self, budget: Arc<RateLimiter>) {
         loop {
             failpoint!("before-claim");
             let committed = self.batch.commit(&*self.store, &budget, self.now()).await;
             failpoint!("after-claim");
             match committed {
                 Ok(winners) => return self.settle(&winners),
-                Err(Error::Paced { retry_after }) if self.time_left() > retry_after => {
+                Err(Error::RateLimited { retry_after }) if self.time_left() > retry_after => {
                     Timer::after(Duration::from_micros(retry_after.0)).await;
                 }
                 Err(error) => {
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -89,7 +89,7 @@
     let mut outcome = manifest::accept(client, base, files, change).await;
     for _ in 1..MAX_ATTEMPTS {
         match &outcome {
-            Err(manifest::Error::Store(error)) if error.is_unsettled() => {
+            Err(manifest::Error::Store(error)) if error.is_indeterminate() => {
                 outcome = manifest::accept(client, base, files, change).await;
             }
             _ => break,
