--- a/components/endpoint/benches/call.rs
+++ b/components/endpoint/benches/call.rs
@@ -1,5 +1,5 @@
-//! Latency of one call over loopback to the executor's stand-in with a task of zero length: with this
-//! transport, and with `trillium-client` and its own pool. Calls run one after another on one
+//! Latency of one call over loopback to the executor's stand-in with a task of zero length: with
+//! this transport, and with `trillium-client` and its own pool. Calls run one after another on one
 //! connection. The two alternate in rounds, so that other load on the host affects both.
 
 use endpoint::{
--- a/components/endpoint/src/classify.rs
+++ b/components/endpoint/src/classify.rs
@@ -1,4 +1,5 @@
-//! Classifies the end of a call: what is known about the attempt. All [`Reply`] values are created here.
+//! Classifies the end of a call: what is known about the attempt. All [`Reply`] values are created
+//! here.
 
 use crate::{
     Loss, Refusal, Reply, Unsent,
@@ -27,8 +28,8 @@
     Unsent(Unsent),
     /// Part of the request was sent.
     Lost(Loss),
-    /// Part of the request was sent, and the operating system received no packet from the peer. It is
-    /// not known whether the endpoint is dead or only this connection.
+    /// Part of the request was sent, and the operating system received no packet from the peer. It
+    /// is not known whether the endpoint is dead or only this connection.
     Dead,
 }
 
--- a/components/endpoint/src/http/client.rs
+++ b/components/endpoint/src/http/client.rs
@@ -39,8 +39,8 @@
 }
 
 impl Client {
-    /// Returns a transport for the process `incarnation`. Idle connections are closed by a task on the
-    /// global executor of `smol`.
+    /// Returns a transport for the process `incarnation`. Idle connections are closed by a task on
+    /// the global executor of `smol`.
     pub fn new(incarnation: Incarnation, options: Options) -> Client {
         let inner = Arc::new(Inner { incarnation, options, hosts: Hosts::default() });
         smol::spawn(sweep(Arc::downgrade(&inner), duration(options.idle_limit))).detach();
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Sends the request over a pooled connection. Uses another one if the first was closed before any
-    /// byte was sent.
+    /// Sends the request over a pooled connection. Uses another one if the first was closed before
+    /// any byte was sent.
     async fn send(
         &self,
         host: &Arc<Host>,
--- a/components/endpoint/src/http/control.rs
+++ b/components/endpoint/src/http/control.rs
@@ -1,6 +1,6 @@
 //! Control requests to workers: lease renewals, stops and usage. All control requests to one worker
-//! share one connection outside the pool, since all connections of the pool may be in use for longer
-//! than a lease lasts.
+//! share one connection outside the pool, since all connections of the pool may be in use for
+//! longer than a lease lasts.
 
 use crate::{
     Stop, Usage,
--- a/components/endpoint/src/http/meter.rs
+++ b/components/endpoint/src/http/meter.rs
@@ -11,8 +11,8 @@
 pub(crate) struct Meter {
     /// Time when the call began.
     started: Instant,
-    /// Number of bytes of the request that the operating system has accepted. If it is above zero, the
-    /// endpoint may have received the request.
+    /// Number of bytes of the request that the operating system has accepted. If it is above zero,
+    /// the endpoint may have received the request.
     written: AtomicU64,
     /// Microseconds from `started` to the last byte in either direction.
     latest: AtomicU64,
--- a/components/endpoint/src/http/options.rs
+++ b/components/endpoint/src/http/options.rs
@@ -9,11 +9,11 @@
 pub struct Options {
     /// Timeout for opening a connection.
     pub connect_timeout: Span,
-    /// Timeout of a health request, a lease renewal, a stop or a usage request, including the time to
-    /// connect.
+    /// Timeout of a health request, a lease renewal, a stop or a usage request, including the time
+    /// to connect.
     pub control_timeout: Span,
-    /// Time after which an idle connection is closed. Should be shorter than the endpoints' own idle
-    /// timeout: a request is lost if the endpoint closes the connection while it is in flight.
+    /// Time after which an idle connection is closed. Should be shorter than the endpoints' own
+    /// idle timeout: a request is lost if the endpoint closes the connection while it is in flight.
     pub idle_limit: Span,
     /// Time without a byte after which the connection of a request is checked.
     pub silence: Span,
--- a/components/endpoint/src/http/raw.rs
+++ b/components/endpoint/src/http/raw.rs
@@ -103,8 +103,8 @@
         result
     }
 
-    /// Sends the request over a pooled connection. Uses another one if the first was closed before any
-    /// byte was sent.
+    /// Sends the request over a pooled connection. Uses another one if the first was closed before
+    /// any byte was sent.
     async fn exchange(
         &self,
         address: SocketAddr,
--- a/components/endpoint/src/http/stream.rs
+++ b/components/endpoint/src/http/stream.rs
@@ -1,8 +1,9 @@
 //! The byte stream that the HTTP library uses for one request.
 //!
-//! It wraps the socket for three reasons. It counts the bytes of the request that were sent. It sends
-//! head and body in one write, while the library would wait for `100 Continue` between them, which
-//! costs each task one more round trip. And it rejects status lines on which the library would panic.
+//! It wraps the socket for three reasons. It counts the bytes of the request that were sent. It
+//! sends head and body in one write, while the library would wait for `100 Continue` between them,
+//! which costs each task one more round trip. And it rejects status lines on which the library
+//! would panic.
 
 use crate::http::meter::Meter;
 use bytes::{Buf, Bytes};
@@ -60,8 +61,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Checks the status line once it is complete: the library supports only registered statuses, and
-    /// treats an interim response as the final one.
+    /// Checks the status line once it is complete: the library supports only registered statuses,
+    /// and treats an interim response as the final one.
     fn check_status(&mut self, bytes: &[u8]) -> Result<()> {
         if self.status_line.len() == STATUS_LINE_LEN {
             return Ok(());
@@ -94,7 +95,8 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<Result<usize>> {
-        // An endpoint may respond before it has read the whole request, and then close the connection.
+        // An endpoint may respond before it has read the whole request, and then close the
+        // connection.
         let sent = self.poll_send(cx);
         let count = match (Pin::new(&mut self.tcp).poll_read(cx, buf), sent) {
             (Poll::Ready(Ok(count)), _) if count > 0 => count,
--- a/components/endpoint/src/http/watch.rs
+++ b/components/endpoint/src/http/watch.rs
@@ -1,11 +1,11 @@
 //! Detects dead connections whose endpoint is alive, and renews the leases of tasks on workers.
 //!
-//! A request without a byte for a while may belong to a long task or be on a dead connection, so the
-//! state of the attempt is requested from the endpoint over another connection. As long as the attempt
-//! runs, the request waits. If the attempt has ended or never arrived, its response or its request is
-//! lost if the connection stays idle for the same time again, within which data still in flight would
-//! have arrived. A failed state request proves nothing: an endpoint that shuts down accepts no
-//! connection but still finishes its running tasks.
+//! A request without a byte for a while may belong to a long task or be on a dead connection, so
+//! the state of the attempt is requested from the endpoint over another connection. As long as the
+//! attempt runs, the request waits. If the attempt has ended or never arrived, its response or its
+//! request counts as lost once the connection has stayed idle for the same time again, within which
+//! data still in flight would have arrived. A failed state request proves nothing: an endpoint that
+//! shuts down accepts no connection but still finishes its running tasks.
 
 use crate::{
     Call, Stop,
--- a/components/endpoint/src/lib.rs
+++ b/components/endpoint/src/lib.rs
@@ -1,7 +1,8 @@
 //! Calls to endpoints: executors and workers.
 //!
-//! [`Transport`] is the interface to endpoints. Each call returns one [`Report`] whose [`Reply`] states
-//! exactly what is known about the attempt: that it ran, that it did not run, or that it may have run.
+//! [`Transport`] is the interface to endpoints. Each call returns one [`Report`] whose [`Reply`]
+//! states exactly what is known about the attempt: that it ran, that it did not run, or that it may
+//! have run.
 
 pub mod call;
 mod classify;
--- a/components/endpoint/src/protocol.rs
+++ b/components/endpoint/src/protocol.rs
@@ -21,7 +21,8 @@
 pub const ACCELERATORS: &str = "Primrosestep-Accelerators";
 /// Request header with the duration of the lease on a task, from the arrival of the request.
 pub const LEASE: &str = "Primrosestep-Lease";
-/// Response header with the result of an attempt without output: one of the constants in [`outcome`].
+/// Response header with the result of an attempt without output: one of the constants in
+/// [`outcome`].
 pub const OUTCOME: &str = "Primrosestep-Outcome";
 /// Response header with the reason of a refusal: one of the constants in [`refusal`].
 pub const REFUSAL: &str = "Primrosestep-Refusal";
--- a/components/endpoint/src/reply.rs
+++ b/components/endpoint/src/reply.rs
@@ -22,7 +22,8 @@
 pub enum Reply {
     /// It ran and returned a response with a status below 500.
     Done(Output),
-    /// It ran and failed: a complete response with status 500 or above that is not marked as a refusal.
+    /// It ran and failed: a complete response with status 500 or above that is not marked as a
+    /// refusal.
     Failed(Output),
     /// It did not run and never will: the endpoint reported so.
     Refused {
@@ -33,7 +34,8 @@
     },
     /// It did not run and never will: no byte of the request was sent.
     NotSent(Unsent),
-    /// It may have run: part of the request was sent, and no complete response arrived or will arrive.
+    /// It may have run: part of the request was sent, and no complete response arrived or will
+    /// arrive.
     Lost(Loss),
     /// It may have run or still be running: no complete response arrived within the time limit.
     TimedOut,
@@ -114,12 +116,12 @@
     /// The response body is larger than the limit.
     #[display("answer too large")]
     TooLarge,
-    /// The connection is dead, but the endpoint is alive. It reports that the attempt does not run, or
-    /// does not report states and the request has been idle for longer than any task runs.
+    /// The connection is dead, but the endpoint is alive. It reports that the attempt does not run,
+    /// or does not report states and the request has been idle for longer than any task runs.
     #[display("silent connection")]
     SilentConnection,
-    /// The operating system closed the connection, but the endpoint is alive. The state of the attempt
-    /// was not requested.
+    /// The operating system closed the connection, but the endpoint is alive. The state of the
+    /// attempt was not requested.
     #[display("dead connection")]
     DeadConnection,
     /// The operating system closed the connection, and the endpoint does not respond.
--- a/components/endpoint/tests/common/mod.rs
+++ b/components/endpoint/tests/common/mod.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// Starts an endpoint that responds to the first request with these bytes and closes the connection.
+/// Starts an endpoint that responds to the first request with these bytes and closes the
+/// connection.
 pub(crate) async fn raw(answer: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind(local()).await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -1,9 +1,9 @@
 //! Connections between entries, over QUIC with mutual TLS.
 //!
 //! A [`Node`] listens on one UDP address, keeps connections to the entries that it is given, and
-//! accepts connections of others. Each peer proves by its certificate which entry it is. There is at
-//! most one connection to a peer; its frames are delivered whole and in order. Messages that were sent
-//! on a lost connection may or may not have been delivered.
+//! accepts connections of others. Each peer proves by its certificate which entry it is. There is
+//! at most one connection to a peer; its frames are delivered whole and in order. Messages that
+//! were sent on a lost connection may or may not have been delivered.
 
 pub mod close;
 pub mod error;
--- a/components/link/src/node/accept.rs
+++ b/components/link/src/node/accept.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Reports a failed connection without waiting, and drops the report if the queue is full: peers that
-/// are not authenticated must not be able to block the queue.
+/// Reports a failed connection without waiting, and drops the report if the queue is full: peers
+/// that are not authenticated must not be able to block the queue.
 fn report<M>(inner: &Inner<M>, failed: Incoming<M>) {
     inner.counters.failed();
     if let Incoming::Failed { address, error } = &failed {
--- a/components/link/src/node/backoff.rs
+++ b/components/link/src/node/backoff.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Pauses that double from `min` to `max`, each randomly shortened by up to a half, so that the two ends
-/// of a lost connection don't try at the same time.
+/// Pauses that double from `min` to `max`, each randomly shortened by up to a half, so that the two
+/// ends of a lost connection don't try at the same time.
 #[derive(Debug)]
 pub(super) struct Backoff {
     min: Duration,
--- a/components/link/src/node/dial.rs
+++ b/components/link/src/node/dial.rs
@@ -29,7 +29,7 @@
 }
 
 impl<M: Payload> Dial<M> {
-    /// Starts to connect. If `delay` is not zero, it first waits for that time for the entry to connect.
+    /// Starts to connect, after it has waited for at most `delay` for the entry to connect.
     pub(super) fn start(
         inner: Arc<Inner<M>>,
         entry: EntryId,
@@ -77,9 +77,9 @@
     }
 }
 
-/// Connects once. Stops if meanwhile the peer has established a connection that would be preferred to
-/// this one: messages sent on a connection that is then closed as a duplicate would be lost. Returns the
-/// connection if one is established.
+/// Connects once. Stops if meanwhile the peer has established a connection that would be preferred
+/// to this one: messages sent on a connection that is then closed as a duplicate would be lost.
+/// Returns the connection if one is established.
 async fn attempt<M: Payload>(
     inner: &Arc<Inner<M>>,
     entry: EntryId,
--- a/components/link/src/node/mod.rs
+++ b/components/link/src/node/mod.rs
@@ -90,7 +90,8 @@
     ///
     /// # Errors
     ///
-    /// The address can't be bound, or the identity can't be used or is not that of the options' home.
+    /// The address can't be bound, or the identity can't be used or is not that of the options'
+    /// home.
     pub fn start(options: Options) -> Result<(Self, async_channel::Receiver<Incoming<M>>), Error> {
         options.identity.check(options.home.entry)?;
         let transport = Arc::new(options.transport());
@@ -113,15 +114,15 @@
         Ok((Self { inner }, receiver))
     }
 
-    /// Keeps a connection to `entry`, which listens on `address`, until [`Node::forget`]. An existing
-    /// connection is kept; a new address is used from the next attempt on.
+    /// Keeps a connection to `entry`, which listens on `address`, until [`Node::forget`]. An
+    /// existing connection is kept; a new address is used from the next attempt on.
     pub fn connect(&self, entry: EntryId, address: SocketAddr) {
         self.keep(entry, address, Duration::ZERO);
     }
 
-    /// Like [`Node::connect`], for an entry that is expected to connect to this node. The first attempt
-    /// is made only after `delay`, so that not both ends establish a connection, of which one would be
-    /// closed as a duplicate.
+    /// Like [`Node::connect`], for an entry that is expected to connect to this node. The first
+    /// attempt is made only after `delay`, so that not both ends establish a connection, of which
+    /// one would be closed as a duplicate.
     pub fn connect_after(&self, entry: EntryId, address: SocketAddr, delay: Duration) {
         self.keep(entry, address, delay);
     }
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Stops keeping a connection to `entry`, and closes it if this node established it. A connection
-    /// that the entry established is kept until the entry closes it.
+    /// Stops keeping a connection to `entry`, and closes it if this node established it. A
+    /// connection that the entry established is kept until the entry closes it.
     pub fn forget(&self, entry: EntryId) {
         self.inner.dials.lock().remove(&entry);
         self.inner
@@ -155,8 +156,8 @@
     ///
     /// # Errors
     ///
-    /// There is no connection to the peer, the message exceeds the maximum size of a frame, or the queue
-    /// is full, in which case the connection is closed.
+    /// There is no connection to the peer, the message exceeds the maximum size of a frame, or the
+    /// queue is full, in which case the connection is closed.
     pub fn send(&self, to: Home, message: &M) -> Result<(), Error> {
         let session = self.inner.table.get(to).ok_or(Error::NotConnected(to))?;
         let sent = session.send(message);
@@ -189,7 +190,8 @@
         self.inner.counters.traffic(live.iter().map(|session| session.datagrams()))
     }
 
-    /// Replaces certificate, key and authority for new connections. Established connections are kept.
+    /// Replaces certificate, key and authority for new connections. Established connections are
+    /// kept.
     ///
     /// # Errors
     ///
@@ -204,8 +206,8 @@
         Ok(())
     }
 
-    /// Waits for at most [`Options::close_timeout`] until queued messages have arrived, then closes all
-    /// connections. No further messages can be sent.
+    /// Waits for at most [`Options::close_timeout`] until queued messages have arrived, then closes
+    /// all connections. No further messages can be sent.
     pub async fn close(&self) {
         let inner = &self.inner;
         inner.dials.lock().clear();
--- a/components/link/src/node/send_queue.rs
+++ b/components/link/src/node/send_queue.rs
@@ -5,12 +5,12 @@
 use std::mem;
 use wire::{Limit, frame};
 
-/// Capacity to which a buffer is shrunk after its write, in bytes, so that a burst of messages does not
-/// keep its memory.
+/// Capacity to which a buffer is shrunk after its write, in bytes, so that a burst of messages does
+/// not keep its memory.
 const KEPT_CAPACITY: usize = 64 << 10;
 
-/// Queue of encoded frames for one peer. Frames that are queued during a write are sent together in the
-/// next one.
+/// Queue of encoded frames for one peer. Frames that are queued during a write are sent together in
+/// the next one.
 #[derive(Debug)]
 pub(super) struct SendQueue {
     limit: Limit,
@@ -56,8 +56,8 @@
         Self { limit, capacity, state: Mutex::default(), wake: async_channel::bounded(1) }
     }
 
-    /// Adds a message. Only the first message that exceeds the capacity gets [`PushError::Overflow`]; it
-    /// closes the queue.
+    /// Adds a message. Only the first message that exceeds the capacity gets
+    /// [`PushError::Overflow`]; it closes the queue.
     pub(super) fn push(&self, message: &impl Serialize) -> Result<(), PushError> {
         let mut state = self.state.lock();
         if state.closed {
@@ -81,8 +81,8 @@
         self.notify();
     }
 
-    /// Takes the queued frames; waits if there are none and the queue is open. `written` is the buffer of
-    /// the last batch, for reuse.
+    /// Takes the queued frames; waits if there are none and the queue is open. `written` is the
+    /// buffer of the last batch, for reuse.
     pub(super) async fn next(&self, written: Vec<u8>) -> Batch {
         self.state.lock().recycle(written);
         loop {
--- a/components/link/src/node/table.rs
+++ b/components/link/src/node/table.rs
@@ -9,7 +9,8 @@
 use std::{sync::Arc, time::Duration};
 
 /// Two connections count as simultaneous if the second was established within this time after the
-/// first. Longer than the difference between the times at which both ends see a connection established.
+/// first. Longer than the difference between the times at which both ends see a connection
+/// established.
 const SIMULTANEOUS_CONNECT_WINDOW: Duration = Duration::from_millis(200);
 
 /// The established sessions, at most one per peer.
@@ -63,8 +64,8 @@
         self.sessions.write().remove(&peer);
     }
 
-    /// Adds `new`, after the end of a session that it supersedes. Returns false if an existing session is
-    /// kept instead.
+    /// Adds `new`, after the end of a session that it supersedes. Returns false if an existing
+    /// session is kept instead.
     pub(super) async fn insert(&self, new: &Arc<Session>) -> bool {
         loop {
             match self.try_insert(new) {
@@ -91,10 +92,10 @@
     }
 }
 
-/// Whether `new` replaces `old`, another connection between the same processes. Both ends decide the
-/// same. Of two connections that the same end established, the later one is kept, since that end would
-/// not have established it while it had the other. Of two simultaneous ones, that of the smaller home is
-/// kept; otherwise the one that is already in use.
+/// Whether `new` replaces `old`, another connection between the same processes. Both ends decide
+/// the same. Of two connections that the same end established, the later one is kept, since that
+/// end would not have established it while it had the other. Of two simultaneous ones, that of the
+/// smaller home is kept; otherwise the one that is already in use.
 fn supersedes(own: Home, new: &Session, old: &Session) -> bool {
     if new.dialled() == old.dialled() {
         return true;
--- a/components/link/src/options.rs
+++ b/components/link/src/options.rs
@@ -9,7 +9,8 @@
 /// Assumed round-trip time before the first measurement. Sites are small.
 const INITIAL_RTT: Duration = Duration::from_millis(50);
 
-/// Flow control window in bytes: the maximum in flight, and buffered by a receiver for a slow reader.
+/// Flow control window in bytes: the maximum in flight, and buffered by a receiver for a slow
+/// reader.
 const FLOW_CONTROL_WINDOW: u32 = 1 << 20;
 
 /// Options of a [`crate::Node`].
@@ -25,11 +26,11 @@
     pub identity: Identity,
     /// Maximum size of a frame to send or accept.
     pub limit: Limit,
-    /// Maximum size of the send queue of one peer; its connection is closed when the queue exceeds it.
-    /// At least the maximum size of a frame.
+    /// Maximum size of the send queue of one peer; its connection is closed when the queue exceeds
+    /// it. At least the maximum size of a frame.
     pub queue: Memory,
-    /// Capacity of the queue of incoming messages and events. While it is full, nothing is read from
-    /// peers.
+    /// Capacity of the queue of incoming messages and events. While it is full, nothing is read
+    /// from peers.
     pub backlog: usize,
     /// Time without a packet from the peer after which a connection is lost.
     pub idle_timeout: Duration,
--- a/components/link/src/tls/config.rs
+++ b/components/link/src/tls/config.rs
@@ -15,7 +15,8 @@
 const ALPN: &[u8] = b"primrosestep";
 
 impl Identity {
-    /// Returns the configuration for connecting. The peer must prove that it is the requested entry.
+    /// Returns the configuration for connecting. The peer must prove that it is the requested
+    /// entry.
     pub fn client(&self, transport: Arc<TransportConfig>) -> Result<ClientConfig, Error> {
         let mut tls = rustls::ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])
--- a/components/link/src/tls/mod.rs
+++ b/components/link/src/tls/mod.rs
@@ -18,7 +18,8 @@
 };
 use site::id::EntryId;
 
-/// Returns the DNS name in the certificate of `entry`: its identifier in hexadecimal, then `.entry`.
+/// Returns the DNS name in the certificate of `entry`: its identifier in hexadecimal, then
+/// `.entry`.
 pub fn dns_name(entry: EntryId) -> String {
     format!("{:x}.entry", entry.0)
 }
--- a/components/link/tests/exchange.rs
+++ b/components/link/tests/exchange.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Sends a message until it arrives. Simultaneous connects may replace a connection; the sender then
-/// gets `Down` for the one that it used.
+/// Sends a message until it arrives. Simultaneous connects may replace a connection; the sender
+/// then gets `Down` for the one that it used.
 async fn send_until_up(from: &Peer, to: &Peer) {
     loop {
         let sent = from.node.send(to.home, &numbered(7)).is_ok();
--- a/components/link/tests/startup.rs
+++ b/components/link/tests/startup.rs
@@ -40,8 +40,8 @@
     });
 }
 
-/// An attempt without a response retransmits its packets. It must not replace the connection that the
-/// peer has established meanwhile.
+/// An attempt without a response retransmits its packets. It must not replace the connection that
+/// the peer has established meanwhile.
 #[test]
 fn an_attempt_ends_when_the_peer_has_connected() {
     block_on(async {
--- a/components/platform/src/claim/mod.rs
+++ b/components/platform/src/claim/mod.rs
@@ -1,9 +1,9 @@
 //! Key claims. The first claim of a caller's idempotency key determines, for all entries, which
 //! submission the key identifies, and thereby its home.
 //!
-//! Claims are stored in one document per shard, which is changed by compare-and-swap. A claim is kept
-//! until it expires by the clocks of the entries. It must expire later than the last time at which its
-//! key may be sent again, by more than the difference between those clocks.
+//! Claims are stored in one document per shard, which is changed by compare-and-swap. A claim is
+//! kept until it expires by the clocks of the entries. It must expire later than the last time at
+//! which its key may be sent again, by more than the difference between those clocks.
 
 mod document;
 mod rate_limiter;
@@ -165,8 +165,8 @@
     }
 
     /// Commits the claims with one read and one write, and with more under contention or after lost
-    /// responses. Writes nothing if all keys are already claimed. Returns the submission that each key
-    /// identifies, in the order of the claims.
+    /// responses. Writes nothing if all keys are already claimed. Returns the submission that each
+    /// key identifies, in the order of the claims.
     ///
     /// # Errors
     ///
--- a/components/platform/src/gateway/exchange.rs
+++ b/components/platform/src/gateway/exchange.rs
@@ -19,8 +19,8 @@
 /// Maximum size of an error response that is read, in bytes.
 const ERROR_BODY_LIMIT: u64 = 64 << 10;
 
-/// Body of a request. Records its first read, which is when its first byte is sent: the HTTP library
-/// sends the head alone and waits for `100 Continue`.
+/// Body of a request. Records its first read, which is when its first byte is sent: the HTTP
+/// library sends the head alone and waits for `100 Continue`.
 struct Tracked {
     bytes: Bytes,
     sent: Arc<AtomicBool>,
--- a/components/platform/src/gateway/message.rs
+++ b/components/platform/src/gateway/message.rs
@@ -1,5 +1,5 @@
-//! JSON messages of the etcd v3 gateway, as far as they are used. Fields that have their default are
-//! absent in responses.
+//! JSON messages of the etcd v3 gateway, as far as they are used. Fields that have their default
+//! are absent in responses.
 
 use crate::store::{
     Change, Compare, Key, KeyValue, LeaseId, Listing, Op, Outcome, Put, Range, Revision, Test, Txn,
--- a/components/platform/src/lib.rs
+++ b/components/platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! Access to the platform's key-value service: a trait for the store, a client of its JSON gateway,
 //! and the documents that the project keeps there.
 //!
-//! Every function here is idempotent and resolves lost responses by reading back, so it may be called
-//! again with the same arguments after any error.
+//! Every function here is idempotent and resolves lost responses by reading back, so it may be
+//! called again with the same arguments after any error.
 
 pub mod claim;
 pub mod error;
--- a/components/platform/src/manifest/accept.rs
+++ b/components/platform/src/manifest/accept.rs
@@ -29,14 +29,14 @@
 
 /// Replaces the settings of revision `base` by `files`. `base` is 0 if there are no settings yet.
 ///
-/// The call may be repeated with the same `change` after any error. It reports whether the change was
-/// accepted for as long as the change is in the manifest's history.
+/// The call may be repeated with the same `change` after any error. It reports whether the change
+/// was accepted for as long as the change is in the manifest's history.
 ///
 /// # Errors
 ///
 /// The store is unavailable, or the files are too large. After an error for which
-/// [`is_indeterminate`](crate::Error::is_indeterminate) is true, the change may be in force or may still come
-/// into force.
+/// [`is_indeterminate`](crate::Error::is_indeterminate) is true, the change may be in force or may
+/// still come into force.
 pub async fn accept(
     store: &dyn Store,
     base: Revision,
@@ -75,8 +75,8 @@
     files.iter().map(file).collect()
 }
 
-/// Writes the bodies that the stored manifest does not reference. They are written even if they exist,
-/// since pruning keeps only unreferenced bodies that were written after the manifest.
+/// Writes the bodies that the stored manifest does not reference. They are written even if they
+/// exist, since pruning keeps only unreferenced bodies that were written after the manifest.
 async fn upload(
     store: &dyn Store,
     stored: &Stored,
--- a/components/platform/src/manifest/changes.rs
+++ b/components/platform/src/manifest/changes.rs
@@ -1,5 +1,5 @@
-//! The last accepted changes, in a small document of their own, so that watchers of the settings need
-//! not read the whole manifest for each change.
+//! The last accepted changes, in a small document of their own, so that watchers of the settings
+//! need not read the whole manifest for each change.
 
 use super::{File, Manifest};
 use compact_str::CompactString;
--- a/components/platform/src/manifest/feed.rs
+++ b/components/platform/src/manifest/feed.rs
@@ -26,8 +26,8 @@
         Feed { store, mirror, manifest: None, highest }
     }
 
-    /// Waits for a manifest with a higher revision than all before. Cancel safe: no change is lost when
-    /// the future is dropped.
+    /// Waits for a manifest with a higher revision than all before. Cancel safe: no change is lost
+    /// when the future is dropped.
     ///
     /// # Errors
     ///
--- a/components/platform/src/manifest/fetch.rs
+++ b/components/platform/src/manifest/fetch.rs
@@ -23,8 +23,8 @@
     pub files: Files,
 }
 
-/// Reads the accepted settings. Bodies of `known` files are not read again. Returns `None` before the
-/// first change was accepted.
+/// Reads the accepted settings. Bodies of `known` files are not read again. Returns `None` before
+/// the first change was accepted.
 ///
 /// # Errors
 ///
--- a/components/platform/src/manifest/mod.rs
+++ b/components/platform/src/manifest/mod.rs
@@ -1,7 +1,7 @@
 //! The accepted settings: file bodies stored by digest, and one manifest that references them.
 //!
-//! A change is accepted by a compare-and-swap of the manifest, whose revision only increases. A small
-//! document with the last changes is written in the same transaction.
+//! A change is accepted by a compare-and-swap of the manifest, whose revision only increases. A
+//! small document with the last changes is written in the same transaction.
 
 mod accept;
 mod changes;
@@ -29,8 +29,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use uuid::Uuid;
 
-/// Number of accepted changes in a manifest's history, so that the result of a change whose response
-/// was lost can be found after further changes.
+/// Number of accepted changes in a manifest's history, so that the result of a change whose
+/// response was lost can be found after further changes.
 const HISTORY: usize = 64;
 
 /// Maximum size of the manifest and of a file, in bytes: the maximum value size of the store.
@@ -122,8 +122,8 @@
     /// The stored manifest can't be parsed.
     #[display("the stored manifest is malformed")]
     Malformed,
-    /// A file's body is not in the store, or does not match its digest. If the manifest was just read,
-    /// it is outdated.
+    /// A file's body is not in the store, or does not match its digest. If the manifest was just
+    /// read, it is outdated.
     #[display("the store lacks the settings file with digest {digest}")]
     Missing {
         /// Digest of the file.
@@ -136,7 +136,8 @@
     manifest: Manifest,
     /// The changes document; the default if it is missing or malformed.
     changes: Changes,
-    /// Store revision of the manifest's last write; [`StoreRevision::NONE`] if there is no manifest.
+    /// Store revision of the manifest's last write; [`StoreRevision::NONE`] if there is no
+    /// manifest.
     modified: StoreRevision,
 }
 
--- a/components/platform/src/manifest/prune.rs
+++ b/components/platform/src/manifest/prune.rs
@@ -7,8 +7,9 @@
 };
 use std::collections::BTreeSet;
 
-/// Removes the bodies that the manifest does not reference. Bodies that were written after the manifest
-/// stay, since a change that references them may be in progress. Returns how many were removed.
+/// Removes the bodies that the manifest does not reference. Bodies that were written after the
+/// manifest stay, since a change that references them may be in progress. Returns how many were
+/// removed.
 ///
 /// # Errors
 ///
--- a/components/platform/src/mirror.rs
+++ b/components/platform/src/mirror.rs
@@ -10,8 +10,8 @@
 /// Decodes a document; returns `None` if it is malformed.
 pub type Decode<T> = fn(&Key, &Bytes) -> Option<T>;
 
-/// A local copy of the documents in a range, kept up to date by a watch. Malformed documents are left
-/// out.
+/// A local copy of the documents in a range, kept up to date by a watch. Malformed documents are
+/// left out.
 pub struct Mirror<T> {
     store: Arc<dyn Store>,
     range: Range,
@@ -34,8 +34,8 @@
         &self.documents
     }
 
-    /// Waits for a change and returns all documents after it. The first call lists them. No change is
-    /// lost when the future is dropped or after an error.
+    /// Waits for a change and returns all documents after it. The first call lists them. No change
+    /// is lost when the future is dropped or after an error.
     ///
     /// # Errors
     ///
--- a/components/platform/src/path.rs
+++ b/components/platform/src/path.rs
@@ -12,6 +12,6 @@
 pub const FILES: &str = "/primrosestep/settings/files/";
 /// Key of the manifest of the accepted settings.
 pub const MANIFEST: &str = "/primrosestep/settings/manifest";
-/// Key of the last changes of the accepted settings. Begins with the manifest's key, so that one range
-/// covers both.
+/// Key of the last changes of the accepted settings. Begins with the manifest's key, so that one
+/// range covers both.
 pub const CHANGES: &str = "/primrosestep/settings/manifest-changes";
--- a/components/platform/src/registry.rs
+++ b/components/platform/src/registry.rs
@@ -1,5 +1,5 @@
-//! Registrations of entries. A registration ends with its lease. That does not mean that the entry has
-//! failed: while the store is unavailable, leases expire and entries keep running.
+//! Registrations of entries. A registration ends with its lease. That does not mean that the entry
+//! has failed: while the store is unavailable, leases expire and entries keep running.
 
 use crate::{
     Code, Mirror, Store, path,
@@ -86,8 +86,8 @@
         &self.entry
     }
 
-    /// Renews the lease, or registers again if it has expired. Must be called several times within the
-    /// lease's time to live.
+    /// Renews the lease, or registers again if it has expired. Must be called several times within
+    /// the lease's time to live.
     ///
     /// # Errors
     ///
--- a/components/platform/src/store/mod.rs
+++ b/components/platform/src/store/mod.rs
@@ -105,8 +105,8 @@
 
 /// The platform's key-value store.
 ///
-/// A call that fails with [`Error::Unreachable`] or [`Error::Refused`] has no effect. After any other
-/// error a change may have taken effect, or may still do so; the caller finds out by reading.
+/// A call that fails with [`Error::Unreachable`] or [`Error::Refused`] has no effect. After any
+/// other error a change may have taken effect, or may still do so; the caller finds out by reading.
 #[async_trait]
 pub trait Store: Send + Sync {
     /// Reads keys and values.
@@ -124,8 +124,8 @@
     /// Removes keys; returns how many existed.
     async fn delete(&self, range: Range) -> Result<u64, Error>;
 
-    /// Creates the lease `id`, which expires `ttl` after its last keep-alive. The caller chooses a random
-    /// identifier, so that a repeated call does not create a second lease.
+    /// Creates the lease `id`, which expires `ttl` after its last keep-alive. The caller chooses a
+    /// random identifier, so that a repeated call does not create a second lease.
     async fn grant(&self, id: LeaseId, ttl: Seconds) -> Result<(), Error>;
 
     /// Renews a lease; returns its time to live, or `None` if it has expired.
--- a/components/platform/src/store/watch.rs
+++ b/components/platform/src/store/watch.rs
@@ -16,8 +16,8 @@
 /// A batch of changes, in the order of their revisions.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Changes {
-    /// Revision of the last change. All changes up to it have been reported, so a watch from the next
-    /// revision misses none.
+    /// Revision of the last change. All changes up to it have been reported, so a watch from the
+    /// next revision misses none.
     pub revision: Revision,
     /// The changes; not empty.
     pub changes: Vec<Change>,
@@ -40,8 +40,8 @@
     ///
     /// # Errors
     ///
-    /// The watch has ended. After [`Error::Unknown`], a lost connection, it may be opened again from the
-    /// revision after the last one reported.
+    /// The watch has ended. After [`Error::Unknown`], a lost connection, it may be opened again
+    /// from the revision after the last one reported.
     pub async fn next(&self) -> Result<Changes, Error> {
         self.receiver.recv().await.unwrap_or(Err(Error::Unknown))
     }
