--- a/capacity/src/probe/forward.rs
+++ b/capacity/src/probe/forward.rs
@@ -17,7 +17,7 @@
     unit::Time,
 };
 use std::sync::Arc;
-use wire::{Frame, frame::PREFIX};
+use wire::{Frame, frame::PREFIX_BYTES};
 
 const TASKS: [usize; 4] = [1, 25, 125, 780];
 
@@ -77,5 +77,5 @@
 
 /// Encodes and decodes.
 fn round(message: &Message) -> Result<Frame, Error> {
-    Ok(Frame::decode(&encode(message)?[PREFIX..])?)
+    Ok(Frame::decode(&encode(message)?[PREFIX_BYTES..])?)
 }
--- a/capacity/src/probe/log.rs
+++ b/capacity/src/probe/log.rs
@@ -46,7 +46,7 @@
     for _ in 0..ROUNDS {
         let (log, guard) = telemetry::start(Counter(bytes.clone()), Level::Info)?;
         let before = process_time();
-        (0..lines).for_each(|number| log.decide(Time(number as u64), place(number)));
+        (0..lines).for_each(|number| log.log_decision(Time(number as u64), place(number)));
         drop(guard);
         spent += process_time() - before;
         if log.dropped() > 0 {
--- a/capacity/src/probe/settings.rs
+++ b/capacity/src/probe/settings.rs
@@ -19,7 +19,7 @@
 use smol::block_on;
 use std::sync::Arc;
 use uuid::Uuid;
-use wire::{Frame, frame::PREFIX};
+use wire::{Frame, frame::PREFIX_BYTES};
 
 /// Data centres, workers, firms.
 const SIZES: [(usize, usize, usize); 3] = [(3, 50, 4), (9, 570, 63), (9, 5_700, 630)];
@@ -59,7 +59,7 @@
     let delta = passed_on(&changed_file(&changed), Revision(1_000_000));
     let frame = encode(&message)?;
     let codec = least(RUNS, || -> Result<Frame, Error> {
-        Ok(Frame::decode(&encode(&message)?[PREFIX..])?)
+        Ok(Frame::decode(&encode(&message)?[PREFIX_BYTES..])?)
     });
     let values = [
         (Quantity::ParseNs, parse),
--- a/components/dispatch/src/entry/drain.rs
+++ b/components/dispatch/src/entry/drain.rs
@@ -5,7 +5,7 @@
     Action, Message,
     message::{Handover, Record, Tabled},
 };
-use ledger::record::Kept;
+use ledger::record::StoredAnswer;
 use membership::Status;
 use site::{
     id::{Home, Token},
@@ -46,7 +46,7 @@
         }
         let successor = self.moves.lock().successor(home);
         let holder = successor.unwrap_or(home);
-        match self.members.lock().ask(now, holder) {
+        match self.members.lock().query(now, holder) {
             Status::Live | Status::Draining => Whereabouts::At(holder),
             Status::Unreachable => Whereabouts::Unreachable,
             Status::Gone => Whereabouts::Gone,
@@ -106,7 +106,7 @@
         self.handling.load(Ordering::SeqCst) == 1
             && self.claims.lock().is_empty()
             && self.routes.lock().is_empty()
-            && self.shards.iter().all(|shard| shard.lock().open() == 0)
+            && self.shards.iter().all(|shard| shard.lock().open_count() == 0)
     }
 
     /// A live entry, one of the own data centre if there is any.
@@ -168,10 +168,10 @@
                 }
                 bytes += size;
                 let answer = match kept {
-                    Kept::Whole(answer) => Ok(answer.clone()),
-                    Kept::Summary(failure) => Err(*failure),
+                    StoredAnswer::Full(answer) => Ok(answer.clone()),
+                    StoredAnswer::Evicted(failure) => Err(*failure),
                 };
-                let (firm, content) = (record.firm, record.content);
+                let (firm, content) = (record.firm, record.content_digest);
                 if let Some(part) = parts.last_mut() {
                     part.push(Record { id, firm, content, answer });
                 }
@@ -211,8 +211,8 @@
                 self.remember_foreign(now, record.id.token);
             }
             let kept = match record.answer {
-                Ok(answer) => Kept::Whole(answer),
-                Err(failure) => Kept::Summary(failure),
+                Ok(answer) => StoredAnswer::Full(answer),
+                Err(failure) => StoredAnswer::Evicted(failure),
             };
             let mut shard = self.shard(record.id).lock();
             shard.adopt(record.id, record.firm, record.content, kept);
@@ -296,7 +296,7 @@
         }
         for (home, first) in forgotten {
             for shard in &self.shards {
-                shard.lock().forget(home, first);
+                shard.lock().forget_epochs(home, first);
             }
         }
     }
--- a/components/dispatch/src/entry/members.rs
+++ b/components/dispatch/src/entry/members.rs
@@ -41,7 +41,7 @@
     /// Any message is a sign of life.
     pub(super) fn hear(&self, now: Time, from: Home, message: &Message, out: &mut Vec<Action>) {
         let draining = matches!(message, Message::Heartbeat(beat) if beat.draining);
-        let changed = self.members.lock().hear(now, from, draining);
+        let changed = self.members.lock().record_contact(now, from, draining);
         if changed {
             self.rekey(now, out);
         }
@@ -106,7 +106,7 @@
         for pool in self.all_pools() {
             pool.lock().list_leaving(now, leaving, out);
         }
-        let changed = self.members.lock().machines_gone(gone);
+        let changed = self.members.lock().vms_missing(gone);
         self.after_change(now, changed, out);
     }
 
--- a/components/dispatch/src/entry/route.rs
+++ b/components/dispatch/src/entry/route.rs
@@ -81,7 +81,7 @@
     /// What is known of an identifier that is not in the whole table of its home.
     fn never_admitted(&self, id: SubmissionId) -> Failure {
         match self.moves.lock().is_forgotten(id.token) {
-            true => ledger::table::expired(),
+            true => ledger::table::expired_failure(),
             false => not_run(Reason::HomeGone, None),
         }
     }
--- a/components/dispatch/src/entry/submit.rs
+++ b/components/dispatch/src/entry/submit.rs
@@ -70,7 +70,7 @@
                 let failure = not_run(Reason::Conflict, None);
                 self.refuse(now, waiter, id, firm, failure, out);
             }
-            Admission::Barred(failure) => {
+            Admission::Rejected(failure) => {
                 let failure = self.qualify(submission, failure);
                 self.refuse(now, waiter, id, firm, failure, out);
             }
@@ -80,7 +80,7 @@
     /// Why a submission that is not in the table may not enter it. Ask under the shard's lock.
     fn bar(&self, id: SubmissionId) -> Option<Failure> {
         if id.home() == self.home && self.is_expired(id) {
-            return Some(ledger::table::expired());
+            return Some(ledger::table::expired_failure());
         }
         if id.home() == self.home && id.token.epoch > self.epoch.load(Ordering::Relaxed) {
             return Some(not_run(Reason::Unknown, None));
@@ -181,7 +181,7 @@
     /// still be on its way.
     fn unknown(&self, id: SubmissionId) -> Failure {
         match self.is_expired(id) {
-            true => ledger::table::expired(),
+            true => ledger::table::expired_failure(),
             false => may_have_run(Reason::Unknown, None),
         }
     }
@@ -222,13 +222,13 @@
         out: &mut Vec<Action>,
     ) {
         if self.is_expired(id) {
-            return self.refuse(now, waiter, id, firm, ledger::table::expired(), out);
+            return self.refuse(now, waiter, id, firm, ledger::table::expired_failure(), out);
         }
         let failure = not_run(Reason::Cancelled, None);
         let arrived = {
             let mut shard = self.shard(id).lock();
             // Another firm's submission is to look like none.
-            !shard.forbid(id, firm, failure)
+            !shard.insert_tombstone(id, firm, failure)
                 && !matches!(shard.lookup(id, firm, None), Lookup::Unknown)
         };
         match arrived {
@@ -273,7 +273,7 @@
 
     /// Forgets that a caller waits.
     pub(super) fn abandon(&self, waiter: WaiterId, id: SubmissionId) {
-        self.shard(id).lock().abandon(id, Waiter::Caller(waiter));
+        self.shard(id).lock().remove_waiter(id, Waiter::Caller(waiter));
         self.routes.lock().abandon(waiter);
         self.claims.lock().remove(&waiter);
     }
--- a/components/dispatch/src/entry/timer.rs
+++ b/components/dispatch/src/entry/timer.rs
@@ -36,7 +36,7 @@
         for shard in &self.shards {
             let (due, waiters) = {
                 let mut shard = shard.lock();
-                (shard.due(now), shard.due_waiters(now))
+                (shard.take_overdue(now), shard.take_overdue_waiters(now))
             };
             for job in due {
                 self.end(now, &job, Reason::Deadline, out);
@@ -57,7 +57,7 @@
         }
         let first = self.first_epoch();
         for shard in &self.shards {
-            shard.lock().forget(self.home, first);
+            shard.lock().forget_epochs(self.home, first);
         }
     }
 
--- a/components/dispatch/src/entry/view.rs
+++ b/components/dispatch/src/entry/view.rs
@@ -69,6 +69,6 @@
 
     /// Submissions without an answer.
     pub fn open(&self) -> usize {
-        self.shards.iter().map(|shard| shard.lock().open()).sum()
+        self.shards.iter().map(|shard| shard.lock().open_count()).sum()
     }
 }
--- a/components/dispatch/src/pool/admit.rs
+++ b/components/dispatch/src/pool/admit.rs
@@ -86,10 +86,10 @@
                 charged: cost,
                 avoid: Vec::new(),
             };
-            self.queue.push_urgent(key, cost, patience, item);
+            self.queue.push_with_max_overtake(key, cost, patience, item);
         }
         if self.work(job) <= SMALL {
-            self.queue.hasten(JobKey(job.number), HEAD_START);
+            self.queue.boost(JobKey(job.number), HEAD_START);
         }
         self.load(submission.firm, job.number, submission.tasks.len() as u32);
     }
@@ -142,7 +142,7 @@
         if self.is_uniform() && self.queue.is_empty() && free >= tasks {
             return run_time;
         }
-        let work = self.queue.until_done(job.submission.firm, self.work(job));
+        let work = self.queue.work_until_done(job.submission.firm, self.work(job));
         Span(work.0 / u64::from(parallel)) + run_time
     }
 
@@ -160,8 +160,8 @@
     /// Tasks that this entry can expect to run at one time.
     fn parallel(&self, needs: &Resources) -> u32 {
         let needs = &self.typical.needs(needs);
-        let held = self.share.held.count(needs);
-        let local = self.share.local.count(needs);
+        let held = self.share.held.max_tasks(needs);
+        let local = self.share.local.max_tasks(needs);
         let expected = match self.share.heard.is_empty() {
             true => held + local.saturating_sub(held) / 2,
             false => held.max(self.target(needs)),
--- a/components/dispatch/src/pool/attempt.rs
+++ b/components/dispatch/src/pool/attempt.rs
@@ -126,7 +126,7 @@
     ) -> Ended {
         let verdict = retry::judge(&report.reply, &attempt.item.job.submission);
         if verdict == Verdict::AgainNotRun {
-            attempt.item.job.unstart();
+            attempt.item.job.revert_start();
         }
         let key = key_of(&attempt.item);
         if attempt.item.job.is_closed() {
--- a/components/dispatch/src/pool/lend.rs
+++ b/components/dispatch/src/pool/lend.rs
@@ -167,7 +167,7 @@
         if self.is_uniform() {
             return self.placement.total_free().0;
         }
-        self.placement.free_endpoints(false).map(|(_, free)| free.count(needs)).sum()
+        self.placement.free_endpoints(false).map(|(_, free)| free.max_tasks(needs)).sum()
     }
 
     /// Sets idle capacity for up to `tasks` tasks apart for `to`; returns for how many.
@@ -175,7 +175,7 @@
         let mut given = 0;
         let free: Vec<_> = self.placement.free_endpoints(false).collect();
         for (endpoint, free) in free {
-            let count = free.count(needs).min(tasks - given);
+            let count = free.max_tasks(needs).min(tasks - given);
             if count == 0 {
                 continue;
             }
--- a/components/dispatch/src/pool/mod.rs
+++ b/components/dispatch/src/pool/mod.rs
@@ -78,7 +78,7 @@
 struct Running {
     attempts: Vec<AttemptId>,
     /// The racks they are on.
-    spread: placement::Spread,
+    spread: placement::RackCounts,
 }
 
 /// Capacity that is left unused until a moment, since its endpoint said that it is taken.
@@ -110,7 +110,7 @@
     queue: fairness::Queue<Item>,
     placement: placement::Pool,
     health: health::Monitor,
-    estimate: placement::Estimate,
+    estimate: placement::Estimator,
     budget: Budget,
     attempts: FxHashMap<AttemptId, Attempt>,
     /// Running attempts of each job, by job number.
@@ -155,7 +155,7 @@
             queue: fairness::Queue::new(),
             placement: placement::Pool::new(seed ^ u64::from(number)),
             health: health::Monitor::new(),
-            estimate: placement::Estimate::default(),
+            estimate: placement::Estimator::default(),
             budget: Budget::default(),
             attempts: FxHashMap::default(),
             running: FxHashMap::default(),
@@ -204,8 +204,8 @@
     }
 
     /// What the run times and sizes of a job's tasks are measured under.
-    fn estimate_key(job: &Job) -> placement::Kind {
-        placement::Kind { firm: job.submission.firm, service: job.submission.service }
+    fn estimate_key(job: &Job) -> placement::TaskKind {
+        placement::TaskKind { firm: job.submission.firm, service: job.submission.service }
     }
 
     fn declared(&self, job: &Job, index: u16) -> (Resources, Span) {
@@ -222,7 +222,7 @@
             none if none == Resources::default() => service.map_or(none, |s| s.needs),
             hint => hint,
         };
-        (needs.with_slot(), run_time)
+        (needs.with_one_slot(), run_time)
     }
 
     /// What to reserve for a task.
@@ -230,7 +230,7 @@
         if self.is_uniform() {
             return Resources::SLOT;
         }
-        let corrected = self.estimate.needs(Self::estimate_key(job), declared).with_slot();
+        let corrected = self.estimate.needs(Self::estimate_key(job), declared).with_one_slot();
         // A correction learnt from tasks that were declared far too small may exceed all workers.
         match self.index.could_fit(self.key, &corrected) {
             true => corrected,
--- a/components/dispatch/src/pool/pump.rs
+++ b/components/dispatch/src/pool/pump.rs
@@ -84,7 +84,7 @@
                 self.placement.release(chosen, needs);
                 return None;
             }
-            if self.health.may_use(now, chosen) {
+            if self.health.try_acquire(now, chosen) {
                 return Some(chosen);
             }
             self.placement.release(chosen, needs);
--- a/components/dispatch/src/pool/timer.rs
+++ b/components/dispatch/src/pool/timer.rs
@@ -68,6 +68,6 @@
             true => self.slow.insert(endpoint, factor),
             false => self.slow.remove(&endpoint),
         };
-        self.placement.set_speed(endpoint, factor);
+        self.placement.set_slowdown(endpoint, factor);
     }
 }
--- a/components/dispatch/src/pool/trial.rs
+++ b/components/dispatch/src/pool/trial.rs
@@ -76,7 +76,7 @@
         self.placement.set_open(endpoint, true);
         let taken = self.placement.take(endpoint, needs);
         self.placement.set_open(endpoint, false);
-        if taken && !self.health.may_use(now, endpoint) {
+        if taken && !self.health.try_acquire(now, endpoint) {
             self.placement.release(endpoint, needs);
             return false;
         }
--- a/components/dispatch/src/pool/wish.rs
+++ b/components/dispatch/src/pool/wish.rs
@@ -43,7 +43,7 @@
         let want = Want {
             service: self.key,
             tasks,
-            held: self.share.held.count(&needs),
+            held: self.share.held.max_tasks(&needs),
             needs,
             demand: self.demand(),
         };
@@ -86,8 +86,8 @@
             return false;
         };
         let (declared, _) = self.declared(&head.job, head.index);
-        let held = self.share.held.count(&declared).max(1);
-        let wait = Span(self.queue.ahead(key.firm).0 / u64::from(held));
+        let held = self.share.held.max_tasks(&declared).max(1);
+        let wait = Span(self.queue.work_ahead(key.firm).0 / u64::from(held));
         let distant = self.share.distant.iter();
         let nearest = distant.filter_map(|home| self.index.latency(home.data_centre)).min();
         nearest.is_some_and(|latency| wait > Span(latency.0 * 4))
@@ -123,7 +123,7 @@
         if remote {
             self.recall(from.data_centre);
         } else {
-            let held = self.share.held.count(&needs);
+            let held = self.share.held.max_tasks(&needs);
             self.share.owed = held.saturating_sub(self.target(&needs));
         }
         self.settle(now, out);
@@ -131,7 +131,7 @@
 
     /// Capacity, in tasks, that this entry should hold while others want some too.
     pub(super) fn target(&self, needs: &Resources) -> u32 {
-        let held = self.share.held.count(needs);
+        let held = self.share.held.max_tasks(needs);
         self.share.target(held, &self.demand(), |firm| self.index.weight(firm))
     }
 
--- a/components/entry/src/engine.rs
+++ b/components/entry/src/engine.rs
@@ -89,7 +89,7 @@
     /// An engine at rest; [`Engine::run_timer`] must run for it to make progress.
     pub fn new(options: Options, edges: Edges, metrics: Metrics) -> Engine {
         let settings = Settings { revision: options.revision, site: options.site.clone() };
-        edges.log.rename(Names::of(&settings.site));
+        edges.log.set_names(Names::of(&settings.site));
         Engine {
             home: options.home,
             clock: Clock::start(),
@@ -206,7 +206,7 @@
             *settings = Settings { revision, site: site.clone() };
         }
         metrics::set(&self.metrics.levels().revision, revision.0);
-        self.edges.log.rename(Names::of(&site));
+        self.edges.log.set_names(Names::of(&site));
         self.post(Event::Settings { revision, site });
     }
 
@@ -278,7 +278,7 @@
 
     fn log(&self, now: Time, decision: Decision) {
         self.metrics.decided(&decision);
-        self.edges.log.decide(now, decision);
+        self.edges.log.log_decision(now, decision);
     }
 
     fn claim(self: &Arc<Self>, wanted: Wanted) {
--- a/components/entry/src/network.rs
+++ b/components/entry/src/network.rs
@@ -167,7 +167,7 @@
             zones.entry(home.data_centre).or_default().push(home);
         }
         let ours = zones.remove(&self.me.data_centre).unwrap_or_default();
-        let across = zones.values().flat_map(|theirs| rendezvous::pairs(&ours, theirs));
+        let across = zones.values().flat_map(|theirs| rendezvous::heartbeat_pairs(&ours, theirs));
         let across = across.filter(|(own, _)| *own == self.me).map(|(_, peer)| peer);
         ours.iter().copied().chain(across).map(|home| home.entry).collect()
     }
--- a/components/fairness/src/level.rs
+++ b/components/fairness/src/level.rs
@@ -1,62 +1,62 @@
-//! One level of the hierarchy: children that compete for service, by load and then by start time.
+//! One level of the hierarchy: a priority queue of active children, by load and then by start time.
 
-use crate::virtual_time::Virtual;
+use crate::virtual_time::VirtualTime;
 use site::unit::{Span, Weight};
 use slab::Slab;
 
-/// Children of a heap node. Four entries fill a cache line.
+/// Number of children of a heap node. Four items fill a cache line.
 const ARITY: usize = 4;
 
-/// Position of a child that does not compete.
-const OUT: u32 = u32::MAX;
+/// Heap position of a child that is not active.
+const NOT_IN_HEAP: u32 = u32::MAX;
 
 /// A child and its virtual clock.
 struct Child<C> {
     weight: Weight,
-    /// What it occupies now, by weight. Children with less go first.
-    load: Virtual,
-    /// Virtual start of its next task. While it competes, not below `floor`.
-    start: Virtual,
-    /// Its start when it last began to compete: a refund does not reach back behind it, so that
-    /// idle time earns nothing.
-    floor: Virtual,
+    /// Number of its running tasks divided by its weight. Children with less load are served first.
+    load: VirtualTime,
+    /// Virtual start time of its next task. While the child is active, not below `floor`.
+    start: VirtualTime,
+    /// Its virtual start time when it last became active. Refunds are limited to it, so that idle
+    /// time earns no credit.
+    floor: VirtualTime,
     inner: C,
 }
 
-/// A child that competes, with a copy of its load and start.
+/// An active child, with a copy of its load and start.
 #[derive(Clone, Copy)]
-struct Entry {
-    load: Virtual,
-    start: Virtual,
+struct HeapItem {
+    load: VirtualTime,
+    start: VirtualTime,
     index: u32,
 }
 
-impl Entry {
-    /// Orders by load, then by start.
-    fn rank(&self) -> (Virtual, Virtual) {
+impl HeapItem {
+    /// Returns the sort key: load, then start.
+    fn sort_key(&self) -> (VirtualTime, VirtualTime) {
         (self.load, self.start)
     }
 }
 
 impl<C> Child<C> {
-    fn entry(&self, index: usize) -> Entry {
-        Entry { load: self.load, start: self.start, index: index as u32 }
+    fn item(&self, index: usize) -> HeapItem {
+        HeapItem { load: self.load, start: self.start, index: index as u32 }
     }
 }
 
-/// Children of one parent.
+/// The children of one parent.
 pub(crate) struct Level<C> {
     children: Slab<Child<C>>,
-    /// The children that compete: a heap of four children a node, least rank first. Ranks are
-    /// copied here so that a walk through the heap stays in adjacent memory.
-    heap: Vec<Entry>,
-    /// For each child, where it is in `heap`, or [`OUT`].
+    /// The active children: a 4-ary min-heap. Sort keys are copied here so that a walk through the
+    /// heap stays in adjacent memory.
+    heap: Vec<HeapItem>,
+    /// For each child, its position in `heap`, or [`NOT_IN_HEAP`].
     positions: Vec<u32>,
-    /// System virtual time: the greatest start served. Never goes back.
-    now: Virtual,
-    /// The greatest start that any child has had. Becomes `now` when nothing competes any more.
-    latest: Virtual,
-    /// Sum of the weights of the children that compete.
+    /// System virtual time: the greatest start that was served. Never decreases.
+    now: VirtualTime,
+    /// The greatest start that any child has had. Becomes `now` when the heap is empty.
+    latest: VirtualTime,
+    /// Sum of the weights of the active children.
     weight: u64,
 }
 
@@ -66,33 +66,32 @@
             children: Slab::new(),
             heap: Vec::new(),
             positions: Vec::new(),
-            now: Virtual::default(),
-            latest: Virtual::default(),
+            now: VirtualTime::default(),
+            latest: VirtualTime::default(),
             weight: 0,
         }
     }
 }
 
 impl<C> Level<C> {
-    /// Adds a child that does not compete yet.
+    /// Adds a child that is not active.
     pub(crate) fn insert(&mut self, weight: Weight, inner: C) -> usize {
         let start = self.now;
         let index = self.children.insert(Child {
             weight,
-            load: Virtual::default(),
+            load: VirtualTime::default(),
             start,
             floor: start,
             inner,
         });
         if index >= self.positions.len() {
-            self.positions.resize(index + 1, OUT);
+            self.positions.resize(index + 1, NOT_IN_HEAP);
         }
         index
     }
 
-    /// Removes a child.
     pub(crate) fn remove(&mut self, index: usize) -> C {
-        self.leave(index);
+        self.deactivate(index);
         self.children.remove(index).inner
     }
 
@@ -113,40 +112,40 @@
     }
 
     pub(crate) fn set_weight(&mut self, index: usize, weight: Weight) {
-        if self.competes(index) {
+        if self.is_active(index) {
             self.weight -= u64::from(self.children[index].weight.0);
             self.weight += u64::from(weight.0);
         }
         self.children[index].weight = weight;
     }
 
-    /// Sum of the weights of the children that compete.
+    /// Returns the sum of the weights of the active children.
     pub(crate) fn weight(&self) -> u64 {
         self.weight
     }
 
-    /// Whether no child competes.
+    /// Returns whether no child is active.
     pub(crate) fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
 
-    pub(crate) fn competes(&self, index: usize) -> bool {
-        self.positions[index] != OUT
+    pub(crate) fn is_active(&self, index: usize) -> bool {
+        self.positions[index] != NOT_IN_HEAP
     }
 
-    /// The child to serve next.
+    /// Returns the child to serve next.
     pub(crate) fn first(&self) -> Option<usize> {
-        self.heap.first().map(|entry| entry.index as usize)
+        self.heap.first().map(|item| item.index as usize)
     }
 
-    /// How far the child's next start lies after the system virtual time.
-    pub(crate) fn lag(&self, index: usize) -> Virtual {
+    /// Returns the virtual time from now until the child's next start.
+    pub(crate) fn time_to_start(&self, index: usize) -> VirtualTime {
         self.children[index].start.minus(self.now)
     }
 
-    /// Lets a child compete, from the system virtual time or its own start, whichever is later.
-    pub(crate) fn enter(&mut self, index: usize) {
-        if self.competes(index) {
+    /// Makes a child active, from the system virtual time or its own start, whichever is later.
+    pub(crate) fn activate(&mut self, index: usize) {
+        if self.is_active(index) {
             return;
         }
         if self.heap.is_empty() {
@@ -156,20 +155,20 @@
         child.start = child.start.max(self.now);
         child.floor = child.start;
         self.weight += u64::from(child.weight.0);
-        let entry = child.entry(index);
-        self.heap.push(entry);
-        self.sift_up(self.heap.len() - 1, entry);
+        let item = child.item(index);
+        self.heap.push(item);
+        self.sift_up(self.heap.len() - 1, item);
     }
 
-    /// Takes a child out of the competition; it keeps its clock.
-    pub(crate) fn leave(&mut self, index: usize) {
+    /// Makes a child inactive; it keeps its virtual clock.
+    pub(crate) fn deactivate(&mut self, index: usize) {
         let position = self.positions[index];
-        if position == OUT {
+        if position == NOT_IN_HEAP {
             return;
         }
         let position = position as usize;
         self.heap.swap_remove(position);
-        self.positions[index] = OUT;
+        self.positions[index] = NOT_IN_HEAP;
         self.weight -= u64::from(self.children[index].weight.0);
         if let Some(&moved) = self.heap.get(position) {
             let position = self.sift_up(position, moved);
@@ -177,99 +176,101 @@
         }
     }
 
-    /// Sets how many tasks of the child run now.
+    /// Sets the number of the child's running tasks.
     pub(crate) fn set_load(&mut self, index: usize, running: usize) {
         let child = &mut self.children[index];
-        child.load = Virtual::of(Span(running as u64), child.weight);
-        if !self.competes(index) {
+        child.load = VirtualTime::of(Span(running as u64), child.weight);
+        if !self.is_active(index) {
             return;
         }
-        let entry = self.children[index].entry(index);
-        let position = self.sift_up(self.positions[index] as usize, entry);
-        self.sift_down(position, entry);
+        let item = self.children[index].item(index);
+        let position = self.sift_up(self.positions[index] as usize, item);
+        self.sift_down(position, item);
     }
 
-    /// Records that the child is served now and charges it.
+    /// Advances the system virtual time to the child's start and charges the child.
     pub(crate) fn serve(&mut self, index: usize, cost: Span) {
         self.now = self.now.max(self.children[index].start);
         self.charge(index, cost);
     }
 
-    /// Records service of `cost` to the level as a whole.
+    /// Records service of `cost` to the level as a whole, at weight 1.
     pub(crate) fn advance(&mut self, cost: Span) {
-        self.now = self.now.plus(Virtual::of(cost, Weight(1)));
+        self.now = self.now.plus(VirtualTime::of(cost, Weight(1)));
     }
 
-    /// Moves the child's clock forward. The clock of an idle child starts from the system's.
+    /// Moves the child's virtual clock forward. The clock of an inactive child starts from the
+    /// system virtual time.
     pub(crate) fn charge(&mut self, index: usize, cost: Span) {
-        let competes = self.competes(index);
+        let is_active = self.is_active(index);
         let child = &mut self.children[index];
-        if !competes {
+        if !is_active {
             child.start = child.start.max(self.now);
         }
-        child.start = child.start.plus(Virtual::of(cost, child.weight));
+        child.start = child.start.plus(VirtualTime::of(cost, child.weight));
         self.latest = self.latest.max(child.start);
-        if competes {
-            let entry = child.entry(index);
-            self.sift_down(self.positions[index] as usize, entry);
+        if is_active {
+            let item = child.item(index);
+            self.sift_down(self.positions[index] as usize, item);
         }
     }
 
-    /// Moves the child's clock back, whatever it was before.
-    pub(crate) fn hasten(&mut self, index: usize, cost: Span) {
+    /// Moves the child's virtual clock back without a limit.
+    pub(crate) fn boost(&mut self, index: usize, cost: Span) {
         let child = &mut self.children[index];
-        child.start = child.start.minus(Virtual::of(cost, child.weight));
-        if self.competes(index) {
-            let entry = self.children[index].entry(index);
-            self.sift_up(self.positions[index] as usize, entry);
+        child.start = child.start.minus(VirtualTime::of(cost, child.weight));
+        if self.is_active(index) {
+            let item = self.children[index].item(index);
+            self.sift_up(self.positions[index] as usize, item);
         }
     }
 
-    /// Moves the child's clock back, at most to where it last began to compete.
+    /// Moves the child's virtual clock back, at most to where it last became active.
     pub(crate) fn refund(&mut self, index: usize, cost: Span) {
-        let competes = self.competes(index);
+        let is_active = self.is_active(index);
         let child = &mut self.children[index];
-        child.start = child.start.minus(Virtual::of(cost, child.weight));
-        if competes {
+        child.start = child.start.minus(VirtualTime::of(cost, child.weight));
+        if is_active {
             child.start = child.start.max(child.floor);
-            let entry = child.entry(index);
-            self.sift_up(self.positions[index] as usize, entry);
+            let item = child.item(index);
+            self.sift_up(self.positions[index] as usize, item);
         }
     }
 
-    fn put(&mut self, position: usize, entry: Entry) {
-        self.heap[position] = entry;
-        self.positions[entry.index as usize] = position as u32;
+    fn put(&mut self, position: usize, item: HeapItem) {
+        self.heap[position] = item;
+        self.positions[item.index as usize] = position as u32;
     }
 
-    /// Puts `entry` at `position` or, as long as its parent is greater, further up.
-    fn sift_up(&mut self, mut position: usize, entry: Entry) -> usize {
+    /// Places `item` at `position`, or further up while its parent is greater. Returns its
+    /// position.
+    fn sift_up(&mut self, mut position: usize, item: HeapItem) -> usize {
         while position > 0 {
             let parent = (position - 1) / ARITY;
-            if self.heap[parent].rank() <= entry.rank() {
+            if self.heap[parent].sort_key() <= item.sort_key() {
                 break;
             }
             self.put(position, self.heap[parent]);
             position = parent;
         }
-        self.put(position, entry);
+        self.put(position, item);
         position
     }
 
-    /// Puts `entry` at `position` or, as long as a child is less, further down.
-    fn sift_down(&mut self, mut position: usize, entry: Entry) {
+    /// Places `item` at `position`, or further down while a child is less.
+    fn sift_down(&mut self, mut position: usize, item: HeapItem) {
         while let Some(least) = self.least_child(position)
-            && self.heap[least].rank() < entry.rank()
+            && self.heap[least].sort_key() < item.sort_key()
         {
             self.put(position, self.heap[least]);
             position = least;
         }
-        self.put(position, entry);
+        self.put(position, item);
     }
 
     fn least_child(&self, position: usize) -> Option<usize> {
         let first = ARITY * position + 1;
         let last = (first + ARITY).min(self.heap.len());
-        (first..last).min_by_key(|&child| self.heap[child].rank())
+        (first..last).min_by_key(|&child| self.heap[child].sort_key())
     }
 }
--- a/components/fairness/src/member.rs
+++ b/components/fairness/src/member.rs
@@ -1,4 +1,4 @@
-//! What a queue holds: firms, their crews, the crews' jobs and the jobs' tasks.
+//! The members of a queue: firms, their crews, the crews' jobs and the jobs' tasks.
 
 use crate::{key::JobKey, level::Level};
 use rustc_hash::FxHashMap;
@@ -11,12 +11,12 @@
 /// A queued task.
 pub(crate) struct Task<T> {
     pub(crate) cost: Span,
-    /// Whether an earlier attempt was charged.
+    /// Whether an earlier attempt of the task was charged.
     pub(crate) charged: bool,
     pub(crate) item: T,
 }
 
-/// Tasks of a job. Not empty: an empty job is removed.
+/// A job with queued tasks. Removed when it is empty.
 pub(crate) struct Job<T> {
     pub(crate) key: JobKey,
     pub(crate) tasks: VecDeque<Task<T>>,
@@ -24,30 +24,31 @@
     pub(crate) cost: Span,
 }
 
-/// Jobs of a crew. Competes in its firm while it has jobs.
+/// A crew. Active in its firm while it has jobs.
 pub(crate) struct Crew<T> {
     pub(crate) id: CrewId,
-    /// Tasks popped here and not finished.
+    /// Number of tasks that were popped here and have not finished.
     pub(crate) running: usize,
     pub(crate) jobs: Level<Job<T>>,
 }
 
-/// A firm. Competes while it has queued tasks and is below its quota.
+/// A firm. Active while it has queued tasks and is below its quota.
 pub(crate) struct Firm<T> {
     pub(crate) id: FirmId,
     pub(crate) crews: Level<Crew<T>>,
     pub(crate) crew_index: FxHashMap<CrewId, usize>,
     pub(crate) quota: Option<Slots>,
-    /// Tasks popped here and not finished.
+    /// Number of tasks that were popped here and have not finished.
     pub(crate) running: usize,
-    /// Tasks running at other entries, as last reported.
+    /// Number of tasks that run at other entries, as last reported.
     pub(crate) remote: usize,
-    /// Queued tasks.
+    /// Number of queued tasks.
     pub(crate) queued: usize,
     /// Sum of the costs of the queued tasks.
     pub(crate) cost: Span,
-    /// What of `cost` is included in the queue's `cost`: all while the firm competes, else nothing.
-    pub(crate) counted: Span,
+    /// The part of `cost` that is included in the queue's `cost`: all while the firm is active,
+    /// else zero.
+    pub(crate) counted_cost: Span,
 }
 
 impl<T> Firm<T> {
@@ -61,18 +62,18 @@
             remote: 0,
             queued: 0,
             cost: Span::ZERO,
-            counted: Span::ZERO,
+            counted_cost: Span::ZERO,
         }
     }
 
-    pub(crate) fn below_quota(&self) -> bool {
+    pub(crate) fn is_below_quota(&self) -> bool {
         self.quota.is_none_or(|quota| self.running + self.remote < quota.0 as usize)
     }
 }
 
-/// Where a job is.
+/// The indices of a job and of its crew and firm.
 #[derive(Clone, Copy)]
-pub(crate) struct Place {
+pub(crate) struct JobIndex {
     pub(crate) firm: usize,
     pub(crate) crew: usize,
     pub(crate) job: usize,
--- a/components/fairness/tests/queue.rs
+++ b/components/fairness/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Order within a job, retries, cancellation and estimates.
+//! Order within a job, retries, cancellation and estimates of queued work.
 
 use fairness::{JobKey, Key, Queue};
 use site::{
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_retry_goes_first_and_is_not_charged_again() {
+fn a_retry_is_served_first_and_is_not_charged_again() {
     let mut queue = Queue::new();
     for task in 0..2 {
         queue.push(key(0, 0), MS(10), task);
@@ -36,7 +36,7 @@
     assert_eq!(queue.pop(), Some((key(1, 1), 10)));
     assert_eq!(queue.pop(), Some((first, task)));
     assert_eq!(queue.firm_running(first.firm), 1);
-    // Charged once for its two attempts, its firm is 1 ms behind the other one.
+    // Its firm was charged once for two attempts, so it has 1 ms less service than the other one.
     let rest: Vec<_> = std::iter::from_fn(|| queue.pop()).map(|(_, task)| task).collect();
     assert_eq!(rest, [1, 11]);
 }
@@ -79,20 +79,20 @@
 }
 
 #[test]
-fn the_estimate_of_the_work_ahead_is_what_is_served_first() {
+fn the_estimated_work_ahead_is_the_work_that_is_served_first() {
     let mut queue = Queue::new();
     queue.set_firm_weight(FirmId(1), Weight(3));
-    assert_eq!(queue.ahead(FirmId(0)), Span::ZERO);
+    assert_eq!(queue.work_ahead(FirmId(0)), Span::ZERO);
     (0..10).for_each(|task| queue.push(key(0, 0), MS(10), task));
     (0..1_000).for_each(|task| queue.push(key(1, 1), MS(10), task + 100));
-    // Its own ten and three times as many of the other firm.
-    assert_eq!(queue.ahead(FirmId(0)), MS(400));
-    // A newcomer waits for nobody.
+    // Its own ten tasks and three times as many of the other firm.
+    assert_eq!(queue.work_ahead(FirmId(0)), MS(400));
+    // A firm without queued tasks waits for no other firm.
     queue.set_firm_weight(FirmId(2), Weight(1));
-    assert_eq!(queue.ahead(FirmId(2)), Span::ZERO);
-    // A firm held back by its quota is in nobody's way.
+    assert_eq!(queue.work_ahead(FirmId(2)), Span::ZERO);
+    // A firm that its quota holds back does not delay the others.
     queue.set_quota(FirmId(1), Some(Slots(0)));
-    assert_eq!(queue.ahead(FirmId(0)), MS(100));
+    assert_eq!(queue.work_ahead(FirmId(0)), MS(100));
 }
 
 #[test]
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_longest_cost_is_served() {
+fn tasks_of_the_maximum_cost_are_served() {
     let mut queue = Queue::new();
     queue.push(key(0, 0), Span(u64::MAX), 0);
     queue.push(key(0, 0), Span(u64::MAX), 1);
--- a/components/fairness/tests/share.rs
+++ b/components/fairness/tests/share.rs
@@ -1,4 +1,4 @@
-//! Shares follow weights, on every level and whatever tasks cost.
+//! Shares follow weights on every level, whatever the costs of tasks are.
 
 use fairness::{JobKey, Key, Queue};
 use proptest::prelude::*;
@@ -18,7 +18,8 @@
     }
 }
 
-/// Service by `of` key in `pops` pops of tasks that finish at once at their declared cost.
+/// Returns the service by `of` key in `pops` pops of tasks that finish immediately at their
+/// declared cost.
 fn serve(queue: &mut Queue<Span>, pops: usize, of: impl Fn(Key) -> u64) -> BTreeMap<u64, u64> {
     let mut served = BTreeMap::new();
     for _ in 0..pops {
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn crews_share_what_their_firm_gets() {
+fn crews_share_the_capacity_of_their_firm() {
     let mut queue = Queue::new();
     queue.set_crew_weight(FirmId(0), CrewId(1), Weight(3));
     for task in 0..2_000 {
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_small_job_goes_before_a_large_one_of_its_crew() {
+fn a_small_job_is_served_before_a_large_one_of_its_crew() {
     let mut queue = Queue::new();
     (0..500).for_each(|_| queue.push(key(0, 0, 0), MS(10), MS(10)));
     serve(&mut queue, 100, |key| key.job.0);
@@ -135,9 +136,9 @@
     assert_eq!(queue.pop().map(|(key, _)| key.job), Some(JobKey(1)));
 }
 
-/// A job of 50 tasks lets others go first for twice its work, however many come.
+/// Later jobs overtake a job of 50 tasks by at most twice its work, however many arrive.
 #[test]
-fn a_large_job_waits_for_a_bounded_amount_of_later_work() {
+fn later_jobs_overtake_a_large_job_by_a_bounded_amount() {
     let mut queue = Queue::new();
     (0..50).for_each(|_| queue.push(key(0, 0, 0), MS(10), MS(10)));
     let mut before = 0;
@@ -149,23 +150,23 @@
         }
         before += 1;
     }
-    assert!((98..=100).contains(&before), "{before} tasks of later jobs went first");
+    assert!((98..=100).contains(&before), "{before} tasks of later jobs were served first");
 }
 
 #[test]
-fn a_hastened_job_goes_before_one_that_was_due() {
+fn a_boosted_job_is_served_before_one_that_was_next() {
     let mut queue = Queue::new();
     (0..50).for_each(|_| queue.push(key(0, 0, 0), MS(10), MS(10)));
     serve(&mut queue, 49, |key| key.job.0);
     (1..=200).for_each(|job| queue.push(key(0, 0, job), MS(10), MS(10)));
     serve(&mut queue, 100, |key| key.job.0);
     queue.push(key(0, 0, 300), MS(10), MS(10));
-    queue.hasten(JobKey(300), MS(5_000));
+    queue.boost(JobKey(300), MS(5_000));
     assert_eq!(queue.pop().map(|(key, _)| key.job), Some(JobKey(300)));
 }
 
 #[test]
-fn many_jobs_gain_no_share() {
+fn more_jobs_give_a_firm_no_larger_share() {
     let mut queue = Queue::new();
     (0..500).for_each(|job| queue.push(key(0, 0, job), MS(5), MS(5)));
     (0..500).for_each(|_| queue.push(key(1, 0, 0), MS(5), MS(5)));
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn idle_time_earns_nothing() {
+fn idle_time_earns_no_credit() {
     let mut queue = Queue::new();
     (0..10_000).for_each(|_| queue.push(key(0, 0, 0), MS(10), MS(10)));
     queue.push(key(1, 0, 0), MS(10), MS(10));
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_refund_for_work_before_an_idle_time_earns_nothing() {
+fn a_refund_for_work_before_an_idle_time_earns_no_credit() {
     let mut queue = Queue::new();
     queue.push(key(1, 0, 0), Span::from_secs(60), MS(0));
     queue.pop();
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn measured_time_counts_where_declared_time_is_wrong() {
+fn firms_are_charged_for_measured_instead_of_declared_time() {
     let mut queue = Queue::new();
     for _ in 0..20_000 {
         queue.push(key(0, 0, 0), MS(1), MS(10));
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn usage_at_other_entries_counts() {
+fn usage_at_other_entries_is_charged() {
     let mut queue = Queue::new();
     (0..1_000).for_each(|_| queue.push(key(0, 0, 0), MS(10), MS(10)));
     (0..1_000).for_each(|_| queue.push(key(1, 0, 0), MS(10), MS(10)));
--- a/components/health/benches/rules.rs
+++ b/components/health/benches/rules.rs
@@ -1,5 +1,6 @@
-//! Compares the isolation rules on one pool: what a faulty endpoint costs, how often good endpoints
-//! are isolated while errors are frequent everywhere, and how soon a mended one is back.
+//! Compares the isolation rules on one simulated pool: tasks lost at faulty endpoints, isolations
+//! of good endpoints while errors are frequent everywhere, and the time until a recovered endpoint
+//! is restored.
 //!
 //! Fifty endpoints of eight slots at 70 % load take tasks of 300 ms; each task goes to the least
 //! used endpoint that takes work. A faulty endpoint fails after 1 ms, so it attracts work.
@@ -17,28 +18,28 @@
 const SLOTS: u32 = 8;
 const RUN_TIME: Span = Span::from_millis(300);
 const FAST_FAILURE: Span = Span::from_millis(1);
-/// Mean time between arrivals, in microseconds: 0.7 * 50 * 8 tasks in 300 ms.
-const GAP: u64 = 1_071;
+/// Mean time between arrivals in microseconds: 0.7 * 50 * 8 tasks in 300 ms.
+const MEAN_ARRIVAL_GAP_US: u64 = 1_071;
 /// When endpoints fail.
 const FAULT: std::ops::Range<Time> = Time(5_000_000)..Time(15_000_000);
 const END: Time = Time(60_000_000);
 const SEEDS: u64 = 10;
 
-/// What goes wrong during the fault.
+/// A simulated fault.
 #[derive(Clone, Copy)]
 enum Fault {
-    /// The first endpoints fail this share of their tasks, at once.
-    Hole { endpoints: usize, share: f64 },
-    /// All endpoints fail this share of their tasks, after the usual run time.
+    /// The first endpoints fail this share of their tasks after 1 ms.
+    FaultyEndpoints { endpoints: usize, share: f64 },
+    /// All endpoints fail this share of their tasks after the usual run time.
     Errors { share: f64 },
 }
 
 impl Fault {
-    /// How an attempt that starts now ends, and after what time.
+    /// Returns the run time of an attempt that starts now, and whether it fails.
     fn attempt(self, now: Time, at: usize, random: &mut ChaCha8Rng) -> (Span, bool) {
         let (share, failure_time) = match self {
-            Fault::Hole { endpoints, share } if at < endpoints => (share, FAST_FAILURE),
-            Fault::Hole { .. } => (0.0, RUN_TIME),
+            Fault::FaultyEndpoints { endpoints, share } if at < endpoints => (share, FAST_FAILURE),
+            Fault::FaultyEndpoints { .. } => (0.0, RUN_TIME),
             Fault::Errors { share } => (share, RUN_TIME),
         };
         let failed = FAULT.contains(&now) && random.random_bool(share);
@@ -47,14 +48,14 @@
     }
 
     fn is_faulty(self, at: usize) -> bool {
-        matches!(self, Fault::Hole { endpoints, .. } if at < endpoints)
+        matches!(self, Fault::FaultyEndpoints { endpoints, .. } if at < endpoints)
     }
 }
 
-/// What a run showed.
+/// Results of one run.
 #[derive(Default)]
 struct Outcome {
-    /// Most tasks that a faulty endpoint lost before it was first isolated.
+    /// Maximum number of tasks that a faulty endpoint lost before its first isolation.
     lost_first: u32,
     /// Tasks that faulty endpoints lost.
     lost: u32,
@@ -62,7 +63,7 @@
     missed: u32,
     /// Isolations of good endpoints.
     false_isolations: u32,
-    /// Seconds from the end of the fault until the last faulty endpoint took work as usual.
+    /// Seconds from the end of the fault until the last faulty endpoint was restored.
     restored: f64,
 }
 
@@ -72,7 +73,7 @@
     busy: [u32; ENDPOINTS],
     lost: [u32; ENDPOINTS],
     isolated: [bool; ENDPOINTS],
-    /// Ends of attempts: time, endpoint, start, whether it failed.
+    /// Ends of attempts in flight: time, endpoint, start, whether it failed.
     ends: BinaryHeap<Reverse<(Time, usize, Time, bool)>>,
     waiting: u32,
     random: ChaCha8Rng,
@@ -102,14 +103,14 @@
             self.advance(arrival);
             self.waiting += 1;
             self.place(arrival);
-            arrival = arrival + Span(self.random.random_range(0..2 * GAP));
+            arrival = arrival + Span(self.random.random_range(0..2 * MEAN_ARRIVAL_GAP_US));
         }
         let faulty = (0..ENDPOINTS).filter(|&at| self.fault.is_faulty(at));
         self.outcome.missed = faulty.filter(|&at| !self.isolated[at]).count() as u32;
         self.outcome
     }
 
-    /// Handles all that happens up to `to`.
+    /// Handles all events up to `to`.
     fn advance(&mut self, to: Time) {
         loop {
             let end = self.ends.peek().map_or(Time::NEVER, |Reverse((time, ..))| *time);
@@ -161,7 +162,7 @@
                 .filter(|&at| self.monitor.is_open(EndpointId(at as u64)))
                 .min_by_key(|&at| self.busy[at]);
             let Some(at) = free else { return };
-            let granted = self.monitor.may_use(now, EndpointId(at as u64));
+            let granted = self.monitor.try_acquire(now, EndpointId(at as u64));
             assert!(granted, "an open endpoint grants an attempt");
             let (time, failed) = self.fault.attempt(now, at, &mut self.random);
             self.busy[at] += 1;
@@ -171,7 +172,7 @@
     }
 }
 
-/// Runs of one rule and fault with all seeds.
+/// Runs one rule and fault with all seeds.
 fn runs(rule: Rule, fault: Fault) -> Vec<Outcome> {
     (0..SEEDS).map(|seed| Run::new(rule, fault, seed).run()).collect()
 }
@@ -180,14 +181,14 @@
     outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64
 }
 
-fn print_hole(name: &str, endpoints: usize, share: f64, rules: &[Rule]) {
+fn print_faulty_endpoints(name: &str, endpoints: usize, share: f64, rules: &[Rule]) {
     println!("\n{name}");
     println!(
         "{:<42} {:>10} {:>10} {:>8} {:>8} {:>10}",
         "rule", "lost first", "lost", "missed", "false", "restored s"
     );
     for &rule in rules {
-        let outcomes = runs(rule, Fault::Hole { endpoints, share });
+        let outcomes = runs(rule, Fault::FaultyEndpoints { endpoints, share });
         let worst = outcomes.iter().map(|outcome| outcome.lost_first).max().unwrap_or(0);
         println!(
             "{:<42} {:>10} {:>10.1} {:>8.1} {:>8.1} {:>10.2}",
@@ -235,10 +236,10 @@
     println!(
         "{SEEDS} runs each; 'lost first' is the most of any endpoint and run, others are means"
     );
-    print_hole("one endpoint fails all for 10 s", 1, 1.0, &rules);
-    print_hole("one endpoint fails 70% for 10 s", 1, 0.7, &rules);
-    print_hole("one endpoint fails 40% for 10 s", 1, 0.4, &rules);
-    print_hole("a rack of eight endpoints fails all for 10 s", 8, 1.0, &rules);
-    print_hole("half of the endpoints fail all for 10 s", 25, 1.0, &rules);
+    print_faulty_endpoints("one endpoint fails all for 10 s", 1, 1.0, &rules);
+    print_faulty_endpoints("one endpoint fails 70% for 10 s", 1, 0.7, &rules);
+    print_faulty_endpoints("one endpoint fails 40% for 10 s", 1, 0.4, &rules);
+    print_faulty_endpoints("a rack of eight endpoints fails all for 10 s", 8, 1.0, &rules);
+    print_faulty_endpoints("half of the endpoints fail all for 10 s", 25, 1.0, &rules);
     print_errors(&rules);
 }
--- a/components/health/src/blame.rs
+++ b/components/health/src/blame.rs
@@ -1,59 +1,60 @@
-//! Tells jobs that fail everywhere from endpoints that fail everything.
+//! Distinguishes jobs that fail at every endpoint from endpoints that fail every job.
 
 use crate::observation::Cause;
 use rustc_hash::FxHashMap;
 use site::id::EndpointId;
 use std::collections::VecDeque;
 
-/// Endpoints at which a cause must have failed, and succeeded nowhere, to be blamed itself.
-const ENDPOINTS: usize = 3;
-/// Causes that are remembered.
-const CAUSES: usize = 1024;
+/// Number of endpoints at which attempts with a cause must have failed, without a success anywhere,
+/// before the cause is blamed instead of the endpoint.
+const MIN_FAILED_ENDPOINTS: usize = 3;
+/// Maximum number of causes that are tracked.
+const MAX_CAUSES: usize = 1024;
 
-/// Where a cause has failed since it last succeeded.
+/// The endpoints at which a cause has failed since its last success.
 #[derive(Clone, Copy, Debug, Default)]
-struct Suspicion {
-    /// Different endpoints; the first `len` count.
-    endpoints: [EndpointId; ENDPOINTS],
+struct FailedEndpoints {
+    /// Distinct endpoints; only the first `len` are set.
+    endpoints: [EndpointId; MIN_FAILED_ENDPOINTS],
     len: usize,
 }
 
-/// Causes that failed lately.
+/// The causes that failed most recently.
 #[derive(Debug, Default)]
 pub(crate) struct Blame {
-    causes: FxHashMap<Cause, Suspicion>,
+    causes: FxHashMap<Cause, FailedEndpoints>,
     /// The keys of `causes`, oldest first.
     order: VecDeque<Cause>,
 }
 
 impl Blame {
-    /// Records a failure and returns whether the cause is to be blamed rather than the endpoint.
+    /// Records a failure and returns whether the cause is blamed rather than the endpoint.
     pub(crate) fn fail(&mut self, cause: Cause, id: EndpointId) -> bool {
         if !self.causes.contains_key(&cause) {
-            self.make_room();
+            self.evict_oldest();
             self.order.push_back(cause);
         }
-        let suspicion = self.causes.entry(cause).or_default();
-        let known = &suspicion.endpoints[..suspicion.len];
-        if suspicion.len < ENDPOINTS && !known.contains(&id) {
-            suspicion.endpoints[suspicion.len] = id;
-            suspicion.len += 1;
+        let failed = self.causes.entry(cause).or_default();
+        let seen = &failed.endpoints[..failed.len];
+        if failed.len < MIN_FAILED_ENDPOINTS && !seen.contains(&id) {
+            failed.endpoints[failed.len] = id;
+            failed.len += 1;
         }
-        suspicion.len == ENDPOINTS
+        failed.len == MIN_FAILED_ENDPOINTS
     }
 
-    /// Records a success.
+    /// Records a success, which clears the cause's failures.
     pub(crate) fn succeed(&mut self, cause: Cause) {
         if self.causes.is_empty() {
             return;
         }
-        if let Some(suspicion) = self.causes.get_mut(&cause) {
-            suspicion.len = 0;
+        if let Some(failed) = self.causes.get_mut(&cause) {
+            failed.len = 0;
         }
     }
 
-    fn make_room(&mut self) {
-        if self.order.len() < CAUSES {
+    fn evict_oldest(&mut self) {
+        if self.order.len() < MAX_CAUSES {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
--- a/components/health/src/lib.rs
+++ b/components/health/src/lib.rs
@@ -1,4 +1,5 @@
-//! Health of endpoints: which ones take new work, judged by the outcomes of attempts.
+//! Health of endpoints: outlier detection that decides from the outcomes of attempts which
+//! endpoints take new work.
 //!
 //! Nothing here reads a clock; the caller passes the time and drives the timers.
 
@@ -11,5 +12,5 @@
 
 pub use monitor::Monitor;
 pub use observation::{Attempt, Cause, Change, Observation, State};
-pub use record::MAX_LOST;
+pub use record::MAX_LOST_TASKS;
 pub use rule::Rule;
--- a/components/health/src/monitor.rs
+++ b/components/health/src/monitor.rs
@@ -1,4 +1,4 @@
-//! The health of all endpoints of a pool.
+//! Health monitor for all endpoints of a pool.
 
 use crate::{
     blame::Blame,
@@ -14,99 +14,101 @@
 };
 use std::collections::{BTreeSet, VecDeque};
 
-/// One endpoint in this many may be failing before the cause is sought elsewhere.
+/// If more than one endpoint in this many is failing, a common cause is assumed.
 const COMMON_CAUSE_DIVISOR: usize = 3;
-/// Failures in a row from which an endpoint counts as failing.
+/// Consecutive failures from which an endpoint counts as failing.
 const FAILING_STREAK: u32 = 2;
 /// Time after its last failure for which an endpoint counts as failing.
-const WINDOW: Span = Span::from_secs(10);
+const FAILING_WINDOW: Span = Span::from_secs(10);
 /// Time after a success in which an endpoint is not blamed for a job that fails elsewhere, too.
-const PROOF: Span = Span::from_secs(2);
-/// Refusals that count as one failure.
-const REFUSALS: u32 = 2;
-/// Time without a run after which a slow endpoint is taken as normal, to be measured again.
-const SLOW_MEMORY: Span = Span::from_secs(10);
+const SUCCESS_WINDOW: Span = Span::from_secs(2);
+/// Number of refusals that count as one failure.
+const REFUSALS_PER_FAILURE: u32 = 2;
+/// Time without a success after which a slow endpoint is treated as normal, so that it is used and
+/// measured again.
+const SLOW_EXPIRY: Span = Span::from_secs(10);
 
-/// Watches the attempts at the endpoints of one pool.
+/// Monitors the attempts at the endpoints of one pool.
 ///
-/// Every attempt is granted by [`may_use`](Self::may_use) and ended by one
-/// [`observe`](Self::observe) or [`withdraw`](Self::withdraw). After any call for an endpoint
-/// [`is_open`](Self::is_open) tells whether it takes another attempt.
+/// Every attempt is granted by [`try_acquire`](Self::try_acquire) and ended by one
+/// [`observe`](Self::observe) or [`release`](Self::release). After any call for an endpoint,
+/// [`is_open`](Self::is_open) returns whether it takes another attempt.
 ///
-/// An endpoint that fails all that it is given loses at most [`MAX_LOST`](crate::MAX_LOST) tasks before it is
-/// isolated, or as many as were in flight when the first one failed. When more than a third of the
-/// endpoints fail, none is isolated any more: the cause is elsewhere.
+/// An endpoint that fails every attempt loses at most [`MAX_LOST_TASKS`](crate::MAX_LOST_TASKS)
+/// tasks before it is isolated, or as many as were in flight when the first one failed. While more
+/// than a third of the endpoints are failing, no further endpoint is isolated: a common cause is
+/// assumed.
 #[derive(Debug, Default)]
 pub struct Monitor {
     rule: Rule,
     records: FxHashMap<EndpointId, Record>,
-    /// Number of records marked as failing.
+    /// Number of endpoints that count as failing.
     failing: usize,
-    /// When to look again at endpoints marked as failing, earliest first.
+    /// When to check again whether endpoints still count as failing, earliest first.
     marks: VecDeque<(Time, EndpointId)>,
-    /// When to look at an endpoint. May hold moments that no longer matter.
+    /// When the state of an endpoint may have to change. May contain timers that no longer apply.
     timers: BTreeSet<(Time, EndpointId)>,
     blame: Blame,
     fleet: Fleet,
 }
 
 impl Monitor {
-    /// A monitor with the default rule and no endpoints.
+    /// Creates a monitor with the default rule and no endpoints.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A monitor with another rule.
+    /// Creates a monitor with the given rule and no endpoints.
     pub fn with_rule(rule: Rule) -> Self {
         Self { rule, ..Self::default() }
     }
 
-    /// Adds an endpoint. Does nothing if it is known.
+    /// Adds an endpoint. Does nothing if it is already known.
     pub fn insert(&mut self, id: EndpointId) {
         self.records.entry(id).or_default();
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint and its history.
     pub fn remove(&mut self, id: EndpointId) {
         if let Some(record) = self.records.remove(&id) {
             self.failing -= usize::from(record.failing);
         }
     }
 
-    /// How far the endpoint is trusted. An unknown one is open.
+    /// Returns the health state of the endpoint. An unknown one is open.
     pub fn state(&self, id: EndpointId) -> State {
         self.records.get(&id).map_or(State::Open, |record| record.state)
     }
 
-    /// Whether another attempt may start at the endpoint, without granting one.
+    /// Returns whether another attempt may start at the endpoint, without granting one.
     pub fn is_open(&self, id: EndpointId) -> bool {
         self.records.get(&id).is_some_and(Record::has_room)
     }
 
-    /// Grants an attempt at the endpoint, or not.
-    pub fn may_use(&mut self, now: Time, id: EndpointId) -> bool {
+    /// Grants an attempt at the endpoint if another one may start, and returns whether it did.
+    pub fn try_acquire(&mut self, now: Time, id: EndpointId) -> bool {
         let Some(record) = self.records.get_mut(&id) else { return false };
         if matches!(record.state, State::Isolated { until } if until <= now) {
             record.state = State::Probing;
         }
-        let room = record.has_room();
-        record.in_flight += u32::from(room);
-        room
+        let granted = record.has_room();
+        record.in_flight += u32::from(granted);
+        granted
     }
 
-    /// Takes back a grant that was not used.
-    pub fn withdraw(&mut self, id: EndpointId) {
+    /// Returns a grant that was not used.
+    pub fn release(&mut self, id: EndpointId) {
         if let Some(record) = self.records.get_mut(&id) {
             record.in_flight = record.in_flight.saturating_sub(1);
         }
     }
 
-    /// Records the end of an attempt.
+    /// Records the outcome of an attempt.
     pub fn observe(&mut self, now: Time, id: EndpointId, what: Observation) -> Change {
         self.observe_attempt(now, id, what, Attempt::default())
     }
 
-    /// Records the end of an attempt of which more is known.
+    /// Records the outcome of an attempt whose start time or cause may be known.
     pub fn observe_attempt(
         &mut self,
         now: Time,
@@ -114,8 +116,8 @@
         what: Observation,
         attempt: Attempt,
     ) -> Change {
-        self.withdraw(id);
-        self.expire(now);
+        self.release(id);
+        self.expire_marks(now);
         let failed_start = attempt.started.unwrap_or(now);
         match what {
             Observation::Done { elapsed, expected } => {
@@ -130,7 +132,7 @@
             Observation::NotSent => self.fail(now, id, failed_start),
             Observation::Failed | Observation::Lost | Observation::TimedOut => {
                 let blamed = attempt.cause.is_some_and(|cause| self.blame.fail(cause, id));
-                if blamed && self.is_proven(now, id) {
+                if blamed && self.succeeded_recently(now, id) {
                     return Change::None;
                 }
                 self.fail(now, id, failed_start)
@@ -138,23 +140,23 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is to be called next.
+    /// Returns when [`tick`](Self::tick) must be called next; `None` without a timer.
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.first().map(|&(time, _)| time)
     }
 
-    /// Does what is due, and adds to `out` what changed.
+    /// Handles the timers that are due, and appends the resulting changes to `out`.
     pub fn tick(&mut self, now: Time, out: &mut Vec<(EndpointId, Change)>) {
-        self.expire(now);
+        self.expire_marks(now);
         while let Some(&(time, id)) = self.timers.first()
             && time <= now
         {
             self.timers.pop_first();
-            self.wake(now, id, out);
+            self.handle_timer(now, id, out);
         }
     }
 
-    fn wake(&mut self, now: Time, id: EndpointId, out: &mut Vec<(EndpointId, Change)>) {
+    fn handle_timer(&mut self, now: Time, id: EndpointId, out: &mut Vec<(EndpointId, Change)>) {
         let Some(record) = self.records.get_mut(&id) else { return };
         if matches!(record.state, State::Isolated { until } if until <= now) {
             record.state = State::Probing;
@@ -166,23 +168,23 @@
         }
         if record.speed.is_slow() {
             let since = record.last_success.unwrap_or(now);
-            if now.since(since) >= SLOW_MEMORY {
+            if now.since(since) >= SLOW_EXPIRY {
                 record.speed.reset();
                 out.push((id, Change::Slow(1.0)));
             } else {
-                self.timers.insert((since + SLOW_MEMORY, id));
+                self.timers.insert((since + SLOW_EXPIRY, id));
             }
         }
     }
 
-    fn is_proven(&self, now: Time, id: EndpointId) -> bool {
+    fn succeeded_recently(&self, now: Time, id: EndpointId) -> bool {
         self.records
             .get(&id)
             .and_then(|record| record.last_success)
-            .is_some_and(|success| now.since(success) <= PROOF)
+            .is_some_and(|success| now.since(success) <= SUCCESS_WINDOW)
     }
 
-    /// Records how long a run took.
+    /// Records how long a run took, and returns the change of its slowdown factor.
     fn measure(&mut self, now: Time, id: EndpointId, elapsed: Span, expected: Span) -> Change {
         let Some(record) = self.records.get_mut(&id) else { return Change::None };
         if record.state != State::Open {
@@ -192,19 +194,19 @@
             return Change::None;
         };
         if record.speed.is_slow() {
-            self.timers.insert((now + SLOW_MEMORY, id));
+            self.timers.insert((now + SLOW_EXPIRY, id));
         }
         Change::Slow(factor)
     }
 
-    /// Records a success; `None` if it changes nothing.
+    /// Records a success. `None` if it does not restore the endpoint.
     fn succeed(&mut self, now: Time, id: EndpointId, started: Time) -> Option<Change> {
         let record = self.records.get_mut(&id)?;
         record.last_success = Some(now);
         record.refusals = 0;
         let restored = record.succeed(now, started, self.rule);
-        if !record.is_out() && record.score.streak() < FAILING_STREAK {
-            self.unmark(id);
+        if !record.is_isolated_or_probing() && record.score.streak() < FAILING_STREAK {
+            self.clear_failing(id);
         }
         restored.then_some(Change::Restore)
     }
@@ -212,7 +214,7 @@
     fn refuse(&mut self, now: Time, id: EndpointId) -> Change {
         let Some(record) = self.records.get_mut(&id) else { return Change::None };
         record.refusals += 1;
-        if record.refusals < REFUSALS {
+        if record.refusals < REFUSALS_PER_FAILURE {
             return Change::None;
         }
         record.refusals = 0;
@@ -229,21 +231,21 @@
             State::Open | State::Suspect => record.score.fail(started),
         }
         let streak = record.score.streak();
-        let condemned = record.score.condemned(rule);
+        let is_unhealthy = record.score.is_unhealthy(rule);
         if streak >= SUSPECT_STREAK {
             record.state = State::Suspect;
         }
-        if streak >= FAILING_STREAK || condemned {
-            self.mark(now, id);
+        if streak >= FAILING_STREAK || is_unhealthy {
+            self.mark_failing(now, id);
         }
-        match condemned {
+        match is_unhealthy {
             true if self.has_common_cause() => self.pause(now, id),
             true => self.isolate(now, id),
             false => Change::None,
         }
     }
 
-    /// Makes an endpoint wait that would be isolated if others did not fail, too.
+    /// Pauses an endpoint that would be isolated if fewer others were failing.
     fn pause(&mut self, now: Time, id: EndpointId) -> Change {
         if let Some(record) = self.records.get_mut(&id) {
             let until = record.pause(now);
@@ -254,18 +256,18 @@
 
     fn isolate(&mut self, now: Time, id: EndpointId) -> Change {
         let Some(record) = self.records.get_mut(&id) else { return Change::None };
-        record.proven = false;
+        record.has_succeeded = false;
         let until = record.isolate(now);
         self.timers.insert((until, id));
         Change::Isolate { until }
     }
 
-    /// Whether so many endpoints fail that the cause is elsewhere.
+    /// Returns whether so many endpoints are failing that a common cause is assumed.
     fn has_common_cause(&self) -> bool {
         self.failing > (self.records.len() / COMMON_CAUSE_DIVISOR).max(1)
     }
 
-    fn mark(&mut self, now: Time, id: EndpointId) {
+    fn mark_failing(&mut self, now: Time, id: EndpointId) {
         let Some(record) = self.records.get_mut(&id) else { return };
         if !record.failing {
             record.failing = true;
@@ -273,11 +275,11 @@
         }
         if !record.queued {
             record.queued = true;
-            self.marks.push_back((now + WINDOW, id));
+            self.marks.push_back((now + FAILING_WINDOW, id));
         }
     }
 
-    fn unmark(&mut self, id: EndpointId) {
+    fn clear_failing(&mut self, id: EndpointId) {
         let Some(record) = self.records.get_mut(&id) else { return };
         if record.failing {
             record.failing = false;
@@ -285,8 +287,8 @@
         }
     }
 
-    /// Unmarks endpoints whose last failure is too long ago.
-    fn expire(&mut self, now: Time) {
+    /// Clears the failing mark of endpoints whose last failure is older than the window.
+    fn expire_marks(&mut self, now: Time) {
         while let Some(&(time, id)) = self.marks.front()
             && time <= now
         {
@@ -296,11 +298,11 @@
             if !record.failing {
                 continue;
             }
-            if record.is_out() || now.since(record.last_failure) < WINDOW {
+            if record.is_isolated_or_probing() || now.since(record.last_failure) < FAILING_WINDOW {
                 record.queued = true;
-                self.marks.push_back((now + WINDOW, id));
+                self.marks.push_back((now + FAILING_WINDOW, id));
             } else {
-                self.unmark(id);
+                self.clear_failing(id);
             }
         }
     }
--- a/components/health/src/observation.rs
+++ b/components/health/src/observation.rs
@@ -1,74 +1,74 @@
-//! What is observed of endpoints and what follows from it.
+//! Outcomes of attempts at endpoints, and the resulting states of endpoints.
 
 use site::unit::{Span, Time};
 
-/// The end of one attempt at an endpoint.
+/// The outcome of one attempt at an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Observation {
-    /// It ran and answered.
+    /// The attempt ran and was answered.
     Done {
         /// Time from the request to the answer.
         elapsed: Span,
-        /// The expected time. Zero when unknown.
+        /// The expected time. Zero if unknown.
         expected: Span,
     },
-    /// It ran and failed.
+    /// The attempt ran and failed.
     Failed,
-    /// The endpoint refused it and did not run it.
+    /// The endpoint refused the attempt and did not run it.
     Refused,
-    /// Nothing of it reached the endpoint: the connection was refused.
+    /// No byte reached the endpoint: the connection was refused.
     NotSent,
     /// The connection or the endpoint's lease ended before the answer.
     Lost,
-    /// No answer came in time.
+    /// No answer arrived before the time limit.
     TimedOut,
 }
 
-/// What attempts have in common that may fail for a reason of their own: their job, or their firm
-/// and service. The caller chooses the numbers.
+/// Identifies what several attempts have in common and what may itself be the cause of their
+/// failures: their job, or their firm and service. The caller assigns the numbers.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Cause(pub u64);
 
-/// What is known of an attempt besides its end.
+/// What is known of an attempt besides its outcome.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Attempt {
-    /// When it started. If absent, a failed attempt is taken to have failed at once, and one that
-    /// succeeded to have started its elapsed time ago.
+    /// When it started. If `None`, a failed attempt is assumed to have failed immediately, and a
+    /// successful one to have started its elapsed time ago.
     pub started: Option<Time>,
-    /// What it has in common with others that may fail.
+    /// What it has in common with other attempts that may fail. `None` if unknown.
     pub cause: Option<Cause>,
 }
 
-/// How far an endpoint is trusted.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It takes work.
+    /// It takes work without restriction.
     Open,
-    /// All its recent attempts failed; it takes one at a time.
+    /// Its latest attempts failed; it takes one attempt at a time.
     Suspect,
-    /// It takes none.
+    /// It takes no work.
     Isolated {
-        /// When it is tried again.
+        /// When probing starts.
         until: Time,
     },
-    /// It takes one at a time, to show whether it works again.
+    /// It takes one attempt at a time, to test whether it works again.
     Probing,
 }
 
-/// What changed for an endpoint.
+/// A change of an endpoint's health that placement must follow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Nothing that matters to placement.
+    /// No change that affects placement.
     None,
-    /// It takes no work.
+    /// The endpoint takes no work.
     Isolate {
-        /// When it is tried again.
+        /// When probing starts.
         until: Time,
     },
-    /// It takes one attempt at a time.
+    /// The endpoint takes one attempt at a time.
     Probe,
-    /// It takes work as usual.
+    /// The endpoint takes work without restriction.
     Restore,
-    /// It takes this many times as long as the others; 1 when it no longer does.
+    /// The endpoint takes this many times as long as the others; 1 when it is no longer slow.
     Slow(f32),
 }
--- a/components/health/src/record.rs
+++ b/components/health/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! Health record of one endpoint.
 
 use crate::{
     observation::State,
@@ -7,48 +7,48 @@
 };
 use site::unit::{Span, Time};
 
-/// Failures in a row from which an endpoint takes one attempt at a time.
+/// Consecutive failures from which an endpoint takes one attempt at a time.
 pub(crate) const SUSPECT_STREAK: u32 = 3;
-/// Most tasks that an endpoint may lose in a row before it is isolated, if no more than these were
-/// in flight when the first one failed.
-pub const MAX_LOST: u32 = 8;
-/// First time for which an endpoint is isolated. Doubles with each probe that fails.
+/// Maximum number of consecutive tasks that an endpoint loses before it is isolated, if no more
+/// than these were in flight when the first one failed.
+pub const MAX_LOST_TASKS: u32 = 8;
+/// Duration of the first isolation. Doubles with each failed probe.
 pub(crate) const FIRST_INTERVAL: Span = Span::from_secs(1);
-/// Longest time for which an endpoint is isolated.
+/// Maximum duration of an isolation.
 pub(crate) const MAX_INTERVAL: Span = Span::from_secs(60);
-/// First and longest pause between attempts at an endpoint that fails while most others do.
+/// First and longest pause between attempts at an endpoint that fails while many others fail, too.
 const FIRST_PAUSE: Span = Span::from_millis(10);
 const MAX_PAUSE: Span = Span::from_secs(1);
-/// Probes in a row that must succeed.
-const PROBES: u32 = 2;
-/// Good behaviour after which an isolation starts again with the first interval.
-pub(crate) const FORGIVE: Span = Span::from_secs(120);
+/// Consecutive probes that must succeed before the endpoint is restored.
+const PROBES_TO_RESTORE: u32 = 2;
+/// Time since the last restore after which the next isolation starts with the first interval.
+pub(crate) const INTERVAL_RESET_AFTER: Span = Span::from_secs(120);
 
-/// One endpoint.
+/// Health record of one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Record {
     pub(crate) state: State,
-    /// Attempts that were granted and not yet observed.
+    /// Attempts that were granted and whose outcome is not yet recorded.
     pub(crate) in_flight: u32,
     pub(crate) score: Score,
-    /// Whether an attempt succeeded since it was added or restored.
-    pub(crate) proven: bool,
+    /// Whether an attempt has succeeded since the endpoint was added or last isolated.
+    pub(crate) has_succeeded: bool,
     pub(crate) last_success: Option<Time>,
     pub(crate) last_failure: Time,
-    /// Whether it is included in the monitor's count of failing endpoints.
+    /// Whether the monitor counts it as failing.
     pub(crate) failing: bool,
-    /// Whether the monitor's queue of marks holds it.
+    /// Whether it is in the monitor's queue of marks.
     pub(crate) queued: bool,
     /// Refusals since the last one that counted as a failure.
     pub(crate) refusals: u32,
-    /// Probes that succeeded in a row.
+    /// Consecutive successful probes.
     pub(crate) probes: u32,
-    /// Length of the latest isolation.
+    /// Duration of the latest isolation.
     pub(crate) interval: Span,
     pub(crate) restored: Option<Time>,
-    /// When a suspect that waits takes the next attempt.
+    /// When a paused endpoint takes the next attempt; `None` if it is not paused.
     pub(crate) paused_until: Option<Time>,
-    /// Length of the latest pause; zero after a success.
+    /// Duration of the latest pause; zero after a success.
     pub(crate) pause: Span,
     pub(crate) speed: Speed,
 }
@@ -59,7 +59,7 @@
             state: State::Open,
             in_flight: 0,
             score: Score::default(),
-            proven: false,
+            has_succeeded: false,
             last_success: None,
             last_failure: Time(0),
             failing: false,
@@ -76,23 +76,23 @@
 }
 
 impl Record {
-    /// Whether another attempt may start.
+    /// Returns whether another attempt may start.
     pub(crate) fn has_room(&self) -> bool {
         match self.state {
-            State::Open if self.proven && self.score.streak() == 0 => true,
-            State::Open => self.in_flight + self.score.streak() < MAX_LOST,
+            State::Open if self.has_succeeded && self.score.streak() == 0 => true,
+            State::Open => self.in_flight + self.score.streak() < MAX_LOST_TASKS,
             State::Suspect => self.in_flight == 0 && !self.is_paused(),
             State::Probing => self.in_flight == 0,
             State::Isolated { .. } => false,
         }
     }
 
-    /// Whether it waits after a failure.
+    /// Returns whether it is paused after a failure.
     pub(crate) fn is_paused(&self) -> bool {
         self.paused_until.is_some()
     }
 
-    /// Keeps a suspect from work for twice as long as last time.
+    /// Pauses a suspect for twice as long as last time and returns the end of the pause.
     pub(crate) fn pause(&mut self, now: Time) -> Time {
         self.pause = Span(self.pause.0 * 2).clamp(FIRST_PAUSE, MAX_PAUSE);
         let until = now + self.pause;
@@ -100,16 +100,18 @@
         until
     }
 
-    /// Whether it is isolated or being probed.
-    pub(crate) fn is_out(&self) -> bool {
+    /// Returns whether it is isolated or probing.
+    pub(crate) fn is_isolated_or_probing(&self) -> bool {
         matches!(self.state, State::Isolated { .. } | State::Probing)
     }
 
-    /// Isolates it for longer than last time, unless that was long ago.
+    /// Isolates it, for twice as long as last time unless its last restore was long ago. Returns
+    /// the end.
     pub(crate) fn isolate(&mut self, now: Time) -> Time {
-        let forgiven = self.restored.is_some_and(|restored| now.since(restored) >= FORGIVE);
+        let is_reset =
+            self.restored.is_some_and(|restored| now.since(restored) >= INTERVAL_RESET_AFTER);
         let doubled = Span(self.interval.0 * 2).min(MAX_INTERVAL);
-        self.interval = if forgiven { FIRST_INTERVAL } else { doubled.max(FIRST_INTERVAL) };
+        self.interval = if is_reset { FIRST_INTERVAL } else { doubled.max(FIRST_INTERVAL) };
         let until = now + self.interval;
         self.state = State::Isolated { until };
         self.probes = 0;
@@ -117,14 +119,14 @@
         until
     }
 
-    /// Records a success of an attempt that began at `started`, and returns whether it takes work
-    /// as usual again.
+    /// Records a success of an attempt that started at `started`. Returns whether this restored the
+    /// endpoint.
     pub(crate) fn succeed(&mut self, now: Time, started: Time, rule: Rule) -> bool {
         match self.state {
-            State::Open => self.proven = true,
+            State::Open => self.has_succeeded = true,
             State::Suspect => {}
             State::Isolated { .. } => return false,
-            State::Probing => return self.pass_probe(now),
+            State::Probing => return self.record_probe_success(now),
         }
         self.score.succeed(rule, started);
         if self.state == State::Open || self.score.streak() >= SUSPECT_STREAK {
@@ -136,9 +138,9 @@
         true
     }
 
-    fn pass_probe(&mut self, now: Time) -> bool {
+    fn record_probe_success(&mut self, now: Time) -> bool {
         self.probes += 1;
-        if self.probes < PROBES {
+        if self.probes < PROBES_TO_RESTORE {
             return false;
         }
         self.state = State::Open;
--- a/components/health/src/rule.rs
+++ b/components/health/src/rule.rs
@@ -1,63 +1,64 @@
-//! Rules that tell from its failures whether an endpoint is to be isolated.
+//! Rules that decide from the outcomes of attempts whether an endpoint is isolated.
 
-use crate::record::MAX_LOST;
+use crate::record::MAX_LOST_TASKS;
 use site::unit::Time;
 
-/// Failures in a row that are told apart.
-const STREAK: usize = 16;
+/// Maximum length of a failure streak that is tracked.
+const MAX_STREAK: usize = 16;
 
 /// When to isolate an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Rule {
-    /// After this many failures in a row, in the order in which the attempts started.
+    /// After this many consecutive failures, in the order in which the attempts started.
     Consecutive {
-        /// Failures; at most 16.
+        /// Number of failures; at most 16.
         limit: u32,
     },
-    /// When too many of the latest attempts failed.
+    /// When at least `limit` of the latest `window` attempts failed.
     ErrorRate {
-        /// Number of attempts that are considered; at most 64.
+        /// Number of latest attempts that are considered; at most 64.
         window: u32,
-        /// Failures among them.
+        /// Number of failures among them.
         limit: u32,
     },
-    /// By a penalty counter that failures raise, and that a run of successes resets.
+    /// By a penalty counter that each failure raises and a series of successes resets.
     PenaltyReward {
-        /// Penalty at which it is isolated. A failure adds 1.
+        /// Penalty at which the endpoint is isolated. A failure adds 1.
         penalty: u32,
-        /// Successes in a row that reset the penalty.
+        /// Consecutive successes that reset the penalty.
         reward: u32,
     },
 }
 
 impl Default for Rule {
     fn default() -> Self {
-        Rule::PenaltyReward { penalty: MAX_LOST, reward: 2 }
+        Rule::PenaltyReward { penalty: MAX_LOST_TASKS, reward: 2 }
     }
 }
 
-/// What the rules need to know of an endpoint.
+/// The outcomes of an endpoint's attempts, as the rules need them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Score {
-    /// When the latest failed attempts started: those that no later attempt has disproved. The
-    /// first `len` count.
-    failures: [Time; STREAK],
+    /// Start times of the latest failed attempts, without those that started no later than a
+    /// successful one. Only the first `len` are set.
+    failures: [Time; MAX_STREAK],
     len: usize,
-    /// Outcomes, the latest in the lowest bit; 1 is a failure.
+    /// Outcomes as bits, the latest in the lowest bit; 1 is a failure.
     history: u64,
     penalty: u32,
     reward: u32,
 }
 
 impl Score {
-    /// Failures in a row. An endpoint that begins to fail everything still ends what it started
-    /// before, so a success does not count against failures of attempts that started later.
+    /// Returns the number of consecutive failures. An endpoint that begins to fail everything may
+    /// still complete attempts that started before, so a success does not clear failures of
+    /// attempts that started later.
     pub(crate) fn streak(&self) -> u32 {
         self.len as u32
     }
 
     pub(crate) fn fail(&mut self, started: Time) {
-        if self.len < STREAK {
+        if self.len < MAX_STREAK {
             self.failures[self.len] = started;
             self.len += 1;
         }
@@ -69,7 +70,7 @@
     pub(crate) fn succeed(&mut self, rule: Rule, started: Time) {
         let newest = self.failures[..self.len].iter().max();
         let stale = newest.is_some_and(|&failure| failure > started);
-        self.disprove(started);
+        self.clear_failures(started);
         if stale {
             return;
         }
@@ -84,20 +85,20 @@
         }
     }
 
-    /// Drops the failures of attempts that started at `until` or before.
-    fn disprove(&mut self, until: Time) {
-        let mut kept = 0;
+    /// Removes the failures of attempts that started at `until` or before.
+    fn clear_failures(&mut self, until: Time) {
+        let mut remaining = 0;
         for at in 0..self.len {
             if self.failures[at] > until {
-                self.failures[kept] = self.failures[at];
-                kept += 1;
+                self.failures[remaining] = self.failures[at];
+                remaining += 1;
             }
         }
-        self.len = kept;
+        self.len = remaining;
     }
 
-    /// Whether the rule isolates the endpoint.
-    pub(crate) fn condemned(&self, rule: Rule) -> bool {
+    /// Returns whether the rule isolates the endpoint.
+    pub(crate) fn is_unhealthy(&self, rule: Rule) -> bool {
         match rule {
             Rule::Consecutive { limit } => self.streak() >= limit,
             Rule::ErrorRate { window, limit } => {
--- a/components/health/src/speed.rs
+++ b/components/health/src/speed.rs
@@ -1,23 +1,23 @@
-//! How fast an endpoint is, compared with the others.
+//! Speed of an endpoint relative to the others, from measured and expected run times.
 
 use site::unit::Span;
 
-/// Ratios that the median is taken of.
+/// Number of latest ratios over which an endpoint's median is taken.
 const RATIOS: usize = 25;
-/// Least number of ratios for a judgement.
-const ENOUGH: usize = 15;
-/// Slowness from which an endpoint counts as slow.
-const SLOW: f32 = 1.5;
-/// Slowness below which it no longer does.
-const NORMAL: f32 = 1.25;
-/// Least factor between two reports.
-const STEP: f32 = 1.3;
-/// By how much one observation moves the median of all endpoints, in octaves; the first ones move
-/// it further.
-const FLEET_STEP: f32 = 0.01;
+/// Minimum number of ratios for a report.
+const MIN_RATIOS: usize = 15;
+/// Slowdown factor from which an endpoint counts as slow.
+const SLOW_FACTOR: f32 = 1.5;
+/// Slowdown factor below which a slow endpoint counts as normal again.
+const NORMAL_FACTOR: f32 = 1.25;
+/// Minimum ratio between two reported factors.
+const MIN_REPORT_RATIO: f32 = 1.3;
+/// Maximum step by which one observation moves the median of all endpoints, in octaves; the first
+/// observations move it further.
+const FLEET_STEP_OCTAVES: f32 = 0.01;
 
-/// The median, over all endpoints, of elapsed to expected time, in octaves. Expectations that are
-/// wrong for all alike make no endpoint slow.
+/// Running median, over all endpoints, of the ratio of elapsed to expected time, in octaves.
+/// Expected times that are wrong by the same factor everywhere make no endpoint slow.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Fleet {
     median: f32,
@@ -31,20 +31,20 @@
             self.median = octaves;
         }
         self.count = self.count.saturating_add(1);
-        let step = FLEET_STEP.max(1.0 / self.count as f32);
+        let step = FLEET_STEP_OCTAVES.max(1.0 / self.count as f32);
         let distance = octaves - self.median;
         self.median += distance.clamp(-step, step);
     }
 }
 
-/// Speed of one endpoint.
+/// Speed of one endpoint relative to the others.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Speed {
     /// The latest ratios of elapsed to expected time, in octaves.
     ratios: [f32; RATIOS],
     len: usize,
     next: usize,
-    /// The factor last reported.
+    /// The last reported slowdown factor; 1 is normal.
     reported: f32,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Speed {
-    /// Records a run and returns the new factor if it is to be reported.
+    /// Records a run. Returns the new slowdown factor if it must be reported.
     pub(crate) fn observe(
         &mut self,
         fleet: &mut Fleet,
@@ -70,18 +70,18 @@
         self.ratios[self.next] = octaves;
         self.next = (self.next + 1) % RATIOS;
         self.len = (self.len + 1).min(RATIOS);
-        if self.len < ENOUGH {
+        if self.len < MIN_RATIOS {
             return None;
         }
         self.report((self.median() - fleet.median).exp2())
     }
 
-    /// Whether it was last reported slow.
+    /// Returns whether the endpoint was last reported as slow.
     pub(crate) fn is_slow(&self) -> bool {
         self.reported > 1.0
     }
 
-    /// Forgets what was measured.
+    /// Discards all measurements.
     pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
@@ -95,12 +95,12 @@
 
     fn report(&mut self, factor: f32) -> Option<f32> {
         let factor = match factor {
-            factor if factor >= SLOW => factor,
-            factor if factor < NORMAL => 1.0,
+            factor if factor >= SLOW_FACTOR => factor,
+            factor if factor < NORMAL_FACTOR => 1.0,
             _ => return None,
         };
         let change = (factor / self.reported).max(self.reported / factor);
-        if change < STEP {
+        if change < MIN_REPORT_RATIO {
             return None;
         }
         self.reported = factor;
--- a/components/health/tests/monitor.rs
+++ b/components/health/tests/monitor.rs
@@ -1,6 +1,7 @@
-//! Faulty endpoints lose few tasks, good ones stay, and mended ones come back.
+//! Isolation of faulty endpoints: few tasks are lost, healthy ones stay open, recovered ones are
+//! restored.
 
-use health::{Attempt, Cause, Change, MAX_LOST, Monitor, Observation, State};
+use health::{Attempt, Cause, Change, MAX_LOST_TASKS, Monitor, Observation, State};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -22,15 +23,16 @@
     Time(0) + Span::from_millis(ms)
 }
 
-/// Gives the endpoint one attempt that ends at once, if it takes one.
+/// Runs one attempt with an immediate outcome at the endpoint, if it takes one.
 fn attempt(monitor: &mut Monitor, now: Time, id: u64, what: Observation) -> Option<Change> {
     let id = EndpointId(id);
-    monitor.may_use(now, id).then(|| monitor.observe(now, id, what))
+    monitor.try_acquire(now, id).then(|| monitor.observe(now, id, what))
 }
 
-/// Makes the endpoint fail until it is isolated, and returns until when.
+/// Fails attempts until the endpoint is isolated, and returns the end of the isolation.
 fn isolate(monitor: &mut Monitor, now: Time, id: u64) -> Time {
-    let changes = (0..MAX_LOST).filter_map(|_| attempt(monitor, now, id, Observation::Failed));
+    let changes =
+        (0..MAX_LOST_TASKS).filter_map(|_| attempt(monitor, now, id, Observation::Failed));
     match changes.last() {
         Some(Change::Isolate { until }) => until,
         other => panic!("not isolated: {other:?}"),
@@ -44,9 +46,9 @@
 }
 
 proptest! {
-    /// An endpoint with some good attempts under way begins to fail everything that starts.
+    /// An endpoint with some good attempts in flight begins to fail everything that starts later.
     #[test]
-    fn a_black_hole_loses_few_tasks(
+    fn an_endpoint_that_fails_everything_loses_few_tasks(
         good in 0_usize..9,
         fresh in any::<bool>(),
         steps in prop::collection::vec(0_u8..4, 200),
@@ -56,30 +58,30 @@
         if !fresh {
             attempt(&mut monitor, ms(1), 7, DONE);
         }
-        let mut old = (0..good).filter(|_| monitor.may_use(ms(1_000), id)).count();
-        let (mut doomed, mut lost, mut isolated) = (0, 0, false);
+        let mut old = (0..good).filter(|_| monitor.try_acquire(ms(1_000), id)).count();
+        let (mut failing, mut lost, mut isolated) = (0, 0, false);
         for (step, now) in steps.into_iter().zip((1_010..).map(ms)) {
-            let slot = old + doomed < MAX_LOST as usize;
+            let slot = old + failing < MAX_LOST_TASKS as usize;
             match step {
                 0 if old > 0 => {
                     old -= 1;
                     let elapsed = now.since(ms(1_000));
                     monitor.observe(now, id, Observation::Done { elapsed, expected: EXPECTED });
                 }
-                1 if doomed > 0 => {
-                    doomed -= 1;
+                1 if failing > 0 => {
+                    failing -= 1;
                     lost += 1;
                     let change = monitor.observe(now, id, Observation::Failed);
                     isolated |= matches!(change, Change::Isolate { .. });
                 }
-                _ if slot && monitor.may_use(now, id) => {
+                _ if slot && monitor.try_acquire(now, id) => {
                     prop_assert!(!isolated);
-                    doomed += 1;
+                    failing += 1;
                 }
                 _ => {}
             }
         }
-        prop_assert!(lost + doomed <= MAX_LOST as usize, "{lost} lost, {doomed} under way");
+        prop_assert!(lost + failing <= MAX_LOST_TASKS as usize, "{lost} lost, {failing} in flight");
     }
 
     #[test]
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_isolates_nobody() {
+fn a_job_that_fails_everywhere_isolates_no_endpoint() {
     let mut monitor = monitor(50);
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let attempt = |job| Attempt { started: None, cause: Some(Cause(job)) };
@@ -107,7 +109,7 @@
         monitor.observe_attempt(ms(0), EndpointId(id), DONE, attempt(1));
     });
     for step in 0..780 {
-        // At few endpoints, so that there is no common cause by their number.
+        // Few endpoints fail, so that their number alone does not indicate a common cause.
         let id = EndpointId(random.random_range(0..10));
         let change = monitor.observe_attempt(ms(step), id, Observation::Failed, attempt(2));
         assert_eq!(change, Change::None);
@@ -120,7 +122,7 @@
     let mut monitor = monitor(50);
     let attempt = Attempt { started: None, cause: Some(Cause(1)) };
     let mut change = Change::None;
-    for step in 0..u64::from(MAX_LOST) {
+    for step in 0..u64::from(MAX_LOST_TASKS) {
         monitor.observe_attempt(ms(step), EndpointId(step + 1), DONE, attempt);
         change = monitor.observe_attempt(ms(step), EndpointId(0), Observation::Failed, attempt);
     }
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn rare_errors_isolate_nobody() {
+fn rare_errors_isolate_no_endpoint() {
     let mut monitor = monitor(10);
     let mut random = ChaCha8Rng::seed_from_u64(11);
     for step in 0..20_000 {
@@ -146,12 +148,12 @@
     let mut until = isolate(&mut monitor, now, 3);
     let mut interval = until.since(now);
     for _ in 0..3 {
-        assert!(!monitor.may_use(Time(until.0 - 1), id));
+        assert!(!monitor.try_acquire(Time(until.0 - 1), id));
         assert_eq!(monitor.next_timer(), Some(until));
         now = until;
         assert_eq!(tick(&mut monitor, now), [(id, Change::Probe)]);
-        assert!(monitor.may_use(now, id));
-        assert!(!monitor.may_use(now, id), "one probe at a time");
+        assert!(monitor.try_acquire(now, id));
+        assert!(!monitor.try_acquire(now, id), "one probe at a time");
         match monitor.observe(now, id, Observation::TimedOut) {
             Change::Isolate { until: next } => until = next,
             other => panic!("not isolated again: {other:?}"),
@@ -166,7 +168,7 @@
 }
 
 #[test]
-fn a_suspect_takes_one_at_a_time_until_one_succeeds() {
+fn a_suspect_takes_one_attempt_at_a_time_until_one_succeeds() {
     let mut monitor = monitor(10);
     let id = EndpointId(0);
     attempt(&mut monitor, ms(0), 0, DONE);
@@ -174,21 +176,21 @@
         attempt(&mut monitor, ms(1), 0, Observation::Lost);
     });
     assert_eq!(monitor.state(id), State::Suspect);
-    assert!(monitor.may_use(ms(2), id));
+    assert!(monitor.try_acquire(ms(2), id));
     assert!(!monitor.is_open(id));
-    monitor.withdraw(id);
+    monitor.release(id);
     assert!(monitor.is_open(id));
     let elapsed = Span::from_millis(300);
-    assert!(monitor.may_use(ms(2), id));
+    assert!(monitor.try_acquire(ms(2), id));
     let done = Observation::Done { elapsed, expected: EXPECTED };
     assert_eq!(monitor.observe(ms(400), id, done), Change::Restore);
     assert_eq!(monitor.state(id), State::Open);
 }
 
 #[test]
-fn refusals_count_half() {
+fn two_refusals_count_as_one_failure() {
     let mut monitor = monitor(10);
-    let changes: Vec<_> = (0..2 * MAX_LOST)
+    let changes: Vec<_> = (0..2 * MAX_LOST_TASKS)
         .map(|_| monitor.observe(ms(0), EndpointId(0), Observation::Refused))
         .collect();
     let (last, others) = changes.split_last().expect("there are changes");
@@ -197,17 +199,17 @@
 }
 
 #[test]
-fn a_straggler_gets_a_factor_and_is_measured_again_later() {
+fn a_slow_endpoint_gets_a_factor_and_is_measured_again_later() {
     let mut monitor = monitor(10);
     let mut slow = Vec::new();
     for step in 0..200 {
         let elapsed = match step {
-            // One outlier at a good endpoint, and a straggler.
+            // One outlier at a good endpoint, and one slow endpoint.
             57 => Span(EXPECTED.0 * 50),
             step if step % 10 == 3 => Span(EXPECTED.0 * 5),
             _ => EXPECTED,
         };
-        // Expected times are ten times too long for all alike.
+        // Expected times are ten times too long at every endpoint.
         let expected = Span(EXPECTED.0 * 10);
         let what = Observation::Done { elapsed, expected };
         if let Some(Change::Slow(factor)) = attempt(&mut monitor, ms(step), step % 10, what) {
@@ -215,7 +217,7 @@
         }
     }
     assert!(slow.iter().all(|(id, _)| *id == 3), "{slow:?}");
-    let (_, factor) = slow.last().expect("the straggler is found");
+    let (_, factor) = slow.last().expect("the slow endpoint is found");
     assert!((3.0..7.0).contains(factor), "{slow:?}");
     let timer = monitor.next_timer().expect("a timer is set");
     tick(&mut monitor, timer);
@@ -224,12 +226,12 @@
 }
 
 #[test]
-fn endpoints_that_left_do_not_count() {
+fn removed_endpoints_do_not_count_as_failing() {
     let mut monitor = monitor(12);
     (0..4).for_each(|id| {
         isolate(&mut monitor, ms(0), id);
         monitor.remove(EndpointId(id));
     });
-    assert!(!monitor.may_use(ms(0), EndpointId(0)));
+    assert!(!monitor.try_acquire(ms(0), EndpointId(0)));
     isolate(&mut monitor, ms(1), 5);
 }
--- a/components/ledger/src/record.rs
+++ b/components/ledger/src/record.rs
@@ -1,4 +1,4 @@
-//! What the table keeps of one submission.
+//! The table's record of one submission.
 
 use crate::Job;
 use serde::{Deserialize, Serialize};
@@ -11,104 +11,106 @@
     sync::Arc,
 };
 
-/// Who waits for an answer.
+/// A caller or peer that waits for an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Waiter {
     /// A caller connected to this entry.
     Caller(WaiterId),
     /// Another entry, on behalf of its caller.
     Peer {
-        /// The entry.
+        /// The entry that waits.
         home: Home,
-        /// Its number for the request.
+        /// The number that it gave to the request.
         request: u64,
     },
 }
 
-/// A finished submission and those who wait for it.
+/// The answer of a submission that has just finished, and its waiters.
 #[derive(Clone, Debug)]
 pub struct Finish {
     /// The final answer.
     pub answer: Arc<Answer>,
-    /// Everyone to tell.
+    /// The waiters to notify.
     pub waiters: Vec<Waiter>,
 }
 
 /// A submission in the table.
 #[derive(Debug)]
 pub struct Record {
-    /// Whose it is; others don't learn that it exists.
+    /// The firm that submitted it. Other firms can't see that it exists.
     pub firm: FirmId,
-    /// Digest of the content, see [`content`]; [`ANY_CONTENT`] where it was never learnt.
-    pub content: u64,
-    /// Open or finished.
+    /// Digest of the content, see [`content_digest`]; [`UNKNOWN_CONTENT`] if unknown.
+    pub content_digest: u64,
+    /// Whether the submission is open or finished, with its data.
     pub state: State,
 }
 
-/// How far a submission is.
+/// State of a submission.
 #[derive(Debug)]
 pub enum State {
-    /// Some task has no output yet.
+    /// At least one task has no output yet.
     Open(Open),
     /// The answer is fixed and never changes.
-    Finished(Kept),
+    Finished(StoredAnswer),
 }
 
 /// A submission without an answer.
 #[derive(Debug)]
 pub struct Open {
-    /// Shared with its tasks.
+    /// The job, shared with its tasks.
     pub job: Arc<Job>,
-    /// By task; `left` of them are `None`.
+    /// The output of each task; `remaining` of them are `None`.
     pub outputs: Vec<Option<Output>>,
-    /// Tasks without output; at least one.
-    pub left: u16,
-    /// Told when it finishes.
+    /// Number of tasks without output; at least one.
+    pub remaining: u16,
+    /// The waiters to notify when it finishes.
     pub waiters: Vec<Waiter>,
 }
 
-/// A fixed answer, or what remains of it.
+/// The final answer, or a failure in its place after it was evicted.
 #[derive(Clone, Debug)]
-pub enum Kept {
-    /// The answer itself.
-    Whole(Arc<Answer>),
-    /// The answer was dropped to bound memory; this is given instead.
-    Summary(Failure),
+pub enum StoredAnswer {
+    /// The complete answer.
+    Full(Arc<Answer>),
+    /// The answer was dropped to bound memory; this failure is returned instead.
+    Evicted(Failure),
 }
 
-impl Kept {
-    /// The answer to give.
+impl StoredAnswer {
+    /// Returns the answer for a waiter.
     pub fn answer(&self) -> Arc<Answer> {
         match self {
-            Kept::Whole(answer) => answer.clone(),
-            Kept::Summary(failure) => Arc::new(Answer::Failed(*failure)),
+            StoredAnswer::Full(answer) => answer.clone(),
+            StoredAnswer::Evicted(failure) => Arc::new(Answer::Failed(*failure)),
         }
     }
 
-    /// Bytes that the kept outputs take.
+    /// Returns the size of the stored outputs in bytes.
     pub fn size(&self) -> usize {
         match self {
-            Kept::Whole(answer) => match &**answer {
+            StoredAnswer::Full(answer) => match &**answer {
                 Answer::Complete(outputs) => outputs.iter().map(output_size).sum(),
                 Answer::Failed(_) => 0,
             },
-            Kept::Summary(_) => 0,
+            StoredAnswer::Evicted(_) => 0,
         }
     }
 }
 
-/// Stands for content that was never learnt; matches all.
-pub const ANY_CONTENT: u64 = 0;
+/// Digest that stands for unknown content; matches any content.
+pub const UNKNOWN_CONTENT: u64 = 0;
 
 impl Record {
-    /// Whether a submission is the one that this record is about.
-    pub fn is_of(&self, firm: FirmId, content: u64) -> bool {
-        self.firm == firm && (self.content == content || self.content == ANY_CONTENT)
+    /// Returns whether a submission of `firm` with this content digest is the recorded one.
+    pub fn matches(&self, firm: FirmId, digest: u64) -> bool {
+        self.firm == firm
+            && (self.content_digest == digest || self.content_digest == UNKNOWN_CONTENT)
     }
 }
 
-/// Digest of what a submission asks for. Deadlines are left out: a resubmission has less time.
-pub fn content(submission: &Submission) -> u64 {
+/// Returns a digest of what a submission requests. The deadline is left out, since a
+/// resubmission has less time left.
+pub fn content_digest(submission: &Submission) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     submission.firm.hash(&mut hasher);
     submission.crew.hash(&mut hasher);
--- a/components/ledger/src/table.rs
+++ b/components/ledger/src/table.rs
@@ -1,8 +1,8 @@
-//! One shard of the table.
+//! One shard of the submission table.
 
 use crate::{
     Job,
-    record::{ANY_CONTENT, Finish, Kept, Open, Record, State, Waiter, content},
+    record::{Finish, Open, Record, State, StoredAnswer, UNKNOWN_CONTENT, Waiter, content_digest},
 };
 use rustc_hash::FxHashMap;
 use site::{
@@ -16,99 +16,99 @@
     sync::Arc,
 };
 
-/// What becomes of a submission.
+/// Result of an admission.
 #[derive(Debug)]
 pub enum Admission {
-    /// It is new and was entered; its tasks may be queued.
+    /// The submission is new and was inserted; its tasks may be queued.
     New(Arc<Job>),
-    /// It was admitted before and is open; the waiter was added.
+    /// The submission was admitted before and is open; the waiter was added.
     Joined,
-    /// It was admitted before and has this answer.
+    /// The submission was admitted before and has this answer.
     Finished(Arc<Answer>),
-    /// The identifier was admitted with other content, or by another firm.
+    /// The identifier was admitted with different content, or for another firm.
     Conflict,
-    /// It is not known and may not be entered.
-    Barred(Failure),
+    /// The submission is unknown and was rejected.
+    Rejected(Failure),
 }
 
-/// What the table knows of an identifier.
+/// Result of a lookup of an identifier.
 #[derive(Debug)]
 pub enum Lookup {
-    /// Open; the waiter, if any, was added.
+    /// The submission is open; the waiter, if any, was added.
     Open(Arc<Job>),
-    /// Finished.
+    /// The submission has this answer.
     Finished(Arc<Answer>),
-    /// Never admitted here, or another firm's.
+    /// The identifier was never admitted here, or belongs to another firm.
     Unknown,
 }
 
-/// A waiter who waits for less time than the submission has.
+/// A waiter whose deadline is earlier than that of the submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Early {
+struct EarlyWaiter {
     deadline: Time,
     id: SubmissionId,
     waiter: Waiter,
 }
 
-impl Ord for Early {
-    fn cmp(&self, other: &Early) -> Ordering {
+impl Ord for EarlyWaiter {
+    fn cmp(&self, other: &EarlyWaiter) -> Ordering {
         (other.deadline, other.id).cmp(&(self.deadline, self.id))
     }
 }
 
-impl PartialOrd for Early {
-    fn partial_cmp(&self, other: &Early) -> Option<Ordering> {
+impl PartialOrd for EarlyWaiter {
+    fn partial_cmp(&self, other: &EarlyWaiter) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// A shard of the submissions that one home has admitted, with those that it took over from
-/// homes that have stopped.
+/// A shard of the submissions that one home has admitted, including those that it took over from
+/// stopped homes.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// By home and epoch, so that an epoch is forgotten as a whole.
+    /// Records by home and epoch, so that an epoch is removed as a whole.
     epochs: BTreeMap<site::id::Token, FxHashMap<SubmissionId, Record>>,
-    /// Deadlines of open submissions, and of some that have finished since.
+    /// Deadlines of open submissions, and of some that have finished in the meantime.
     deadlines: BinaryHeap<Reverse<(Time, SubmissionId)>>,
-    /// Waiters who wait for less time than their submission has, the earliest first.
-    early: BinaryHeap<Early>,
-    /// Finished submissions with whole answers, oldest first.
+    /// Waiters whose deadline is earlier than that of their submission, the earliest first.
+    early_waiters: BinaryHeap<EarlyWaiter>,
+    /// Finished submissions with full answers, oldest first.
     answers: VecDeque<SubmissionId>,
-    /// Bytes in whole answers.
+    /// Total size of full answers in bytes.
     answer_bytes: usize,
-    /// Most bytes in whole answers.
+    /// Maximum total size of full answers in bytes.
     answer_limit: usize,
-    /// Submissions without an answer.
+    /// Number of submissions without an answer.
     open: usize,
 }
 
 impl Table {
-    /// An empty shard that keeps at most `answer_limit` bytes of answers.
+    /// Creates an empty shard that keeps at most `answer_limit` bytes of answers.
     pub fn new(answer_limit: usize) -> Table {
         Table { answer_limit, ..Table::default() }
     }
 
-    /// Submissions without an answer.
-    pub fn open(&self) -> usize {
+    /// Returns the number of submissions without an answer.
+    pub fn open_count(&self) -> usize {
         self.open
     }
 
-    /// Enters a submission unless its identifier was entered before or `bar` gives a reason
-    /// against it. `bar` is asked under the lock that the caller holds, so that what it looks at
-    /// can't change before the submission is entered.
+    /// Inserts a submission unless its identifier is known or `reject` returns a failure. `reject`
+    /// is called under the lock that the caller holds, so that the state it checks can't change
+    /// before the submission is inserted.
     pub fn admit(
         &mut self,
         submission: &Arc<Submission>,
         waiter: Waiter,
         deadline: Time,
-        bar: impl FnOnce() -> Option<Failure>,
+        reject: impl FnOnce() -> Option<Failure>,
         number: impl FnOnce() -> u64,
     ) -> Admission {
         if let Some(known) = self.find(submission, waiter, deadline) {
             return known;
         }
-        if let Some(failure) = bar() {
-            return Admission::Barred(failure);
+        if let Some(failure) = reject() {
+            return Admission::Rejected(failure);
         }
         let id = submission.id;
         let job = Arc::new(Job::new(submission.clone(), number(), deadline));
@@ -116,19 +116,20 @@
         let open = Open {
             job: job.clone(),
             outputs: vec![None; tasks],
-            left: tasks as u16,
+            remaining: tasks as u16,
             waiters: vec![waiter],
         };
         let state = State::Open(open);
-        let record = Record { firm: submission.firm, content: content(submission), state };
+        let record =
+            Record { firm: submission.firm, content_digest: content_digest(submission), state };
         self.epochs.entry(id.token).or_default().insert(id, record);
         self.deadlines.push(Reverse((deadline, id)));
         self.open += 1;
         Admission::New(job)
     }
 
-    /// What is known of a submission whose identifier was entered before; the waiter is added when
-    /// it is open, until `deadline`.
+    /// Looks up a submission whose identifier may be known; `None` if it is not. If it is open, the
+    /// waiter is added until `deadline`.
     pub fn find(
         &mut self,
         submission: &Submission,
@@ -137,36 +138,37 @@
     ) -> Option<Admission> {
         let id = submission.id;
         let record = self.get_mut(id)?;
-        if !record.is_of(submission.firm, content(submission)) {
+        if !record.matches(submission.firm, content_digest(submission)) {
             return Some(Admission::Conflict);
         }
         match &mut record.state {
             State::Open(open) => {
                 open.waiters.push(waiter);
                 if deadline < open.job.deadline {
-                    self.early.push(Early { deadline, id, waiter });
+                    self.early_waiters.push(EarlyWaiter { deadline, id, waiter });
                 }
                 Some(Admission::Joined)
             }
-            State::Finished(kept) => Some(Admission::Finished(kept.answer())),
+            State::Finished(stored) => Some(Admission::Finished(stored.answer())),
         }
     }
 
-    /// Fixes a failure as the answer of an identifier that was never entered, for a submission
-    /// that may still be on its way. Returns whether it was never entered.
-    pub fn forbid(&mut self, id: SubmissionId, firm: FirmId, failure: Failure) -> bool {
+    /// Records a failure as the answer of an unknown identifier, for a submission that may still
+    /// arrive. Returns whether the identifier was unknown.
+    pub fn insert_tombstone(&mut self, id: SubmissionId, firm: FirmId, failure: Failure) -> bool {
         if self.get(id).is_some() {
             return false;
         }
-        let kept = Kept::Whole(Arc::new(Answer::Failed(failure)));
-        self.adopt(id, firm, ANY_CONTENT, kept);
+        let stored = StoredAnswer::Full(Arc::new(Answer::Failed(failure)));
+        self.adopt(id, firm, UNKNOWN_CONTENT, stored);
         true
     }
 
-    /// Looks an identifier up for `firm`, and adds a waiter when it is open. One that was only
-    /// forbidden looks like one that is another firm's.
+    /// Looks up an identifier for `firm`, and adds the waiter if it is open. A tombstone is
+    /// reported as unknown, like an identifier of another firm.
     pub fn lookup(&mut self, id: SubmissionId, firm: FirmId, waiter: Option<Waiter>) -> Lookup {
-        let visible = |record: &&mut Record| record.firm == firm && record.content != ANY_CONTENT;
+        let visible =
+            |record: &&mut Record| record.firm == firm && record.content_digest != UNKNOWN_CONTENT;
         let Some(record) = self.get_mut(id).filter(visible) else {
             return Lookup::Unknown;
         };
@@ -175,23 +177,24 @@
                 open.waiters.extend(waiter);
                 Lookup::Open(open.job.clone())
             }
-            State::Finished(kept) => Lookup::Finished(kept.answer()),
+            State::Finished(stored) => Lookup::Finished(stored.answer()),
         }
     }
 
-    /// Tasks of an open submission, and how many have answered.
+    /// Returns the number of tasks of an open submission, and how many have an output; `None`
+    /// otherwise.
     pub fn progress(&self, id: SubmissionId) -> Option<(u16, u16)> {
         match &self.get(id)?.state {
             State::Open(open) => {
                 let tasks = open.outputs.len() as u16;
-                Some((tasks, tasks - open.left))
+                Some((tasks, tasks - open.remaining))
             }
             State::Finished(_) => None,
         }
     }
 
-    /// Removes a waiter who no longer waits. Returns whether it was there.
-    pub fn abandon(&mut self, id: SubmissionId, waiter: Waiter) -> bool {
+    /// Removes a waiter that no longer waits. Returns whether it was found.
+    pub fn remove_waiter(&mut self, id: SubmissionId, waiter: Waiter) -> bool {
         let Some(Record { state: State::Open(open), .. }) = self.get_mut(id) else {
             return false;
         };
@@ -200,25 +203,26 @@
         open.waiters.len() < before
     }
 
-    /// Stores the output of a task. Returns the answer when it was the last.
+    /// Stores the output of a task. Returns the answer and its waiters if this was the last output.
     pub fn store(&mut self, id: SubmissionId, index: u16, output: Output) -> Option<Finish> {
         let record = self.get_mut(id)?;
         let State::Open(open) = &mut record.state else {
             return None;
         };
-        let place = open.outputs.get_mut(usize::from(index))?;
-        if place.replace(output).is_some() {
+        let slot = open.outputs.get_mut(usize::from(index))?;
+        if slot.replace(output).is_some() {
             return None;
         }
-        open.left -= 1;
-        if open.left > 0 {
+        open.remaining -= 1;
+        if open.remaining > 0 {
             return None;
         }
         let outputs = std::mem::take(&mut open.outputs);
         self.finish(id, Answer::Complete(outputs.into_iter().flatten().collect()))
     }
 
-    /// Fixes a failure as the answer. Returns `None` when another answer was fixed before.
+    /// Sets a failure as the final answer. Returns `None` if the submission is unknown or already
+    /// has an answer.
     pub fn fail(&mut self, id: SubmissionId, failure: Failure) -> Option<Finish> {
         self.finish(id, Answer::Failed(failure))
     }
@@ -230,9 +234,9 @@
         };
         let waiters = std::mem::take(&mut open.waiters);
         let answer = Arc::new(answer);
-        let kept = Kept::Whole(answer.clone());
-        let size = kept.size();
-        record.state = State::Finished(kept);
+        let stored = StoredAnswer::Full(answer.clone());
+        let size = stored.size();
+        record.state = State::Finished(stored);
         self.open -= 1;
         self.keep(id, size);
         Some(Finish { answer, waiters })
@@ -248,21 +252,21 @@
             let Some(oldest) = self.answers.pop_front() else {
                 return;
             };
-            self.summarise(oldest);
+            self.evict(oldest);
         }
     }
 
-    fn summarise(&mut self, id: SubmissionId) {
-        let Some(Record { state: State::Finished(kept), .. }) = self.get_mut(id) else {
+    fn evict(&mut self, id: SubmissionId) {
+        let Some(Record { state: State::Finished(stored), .. }) = self.get_mut(id) else {
             return;
         };
-        let size = kept.size();
-        *kept = Kept::Summary(expired());
+        let size = stored.size();
+        *stored = StoredAnswer::Evicted(expired_failure());
         self.answer_bytes -= size;
     }
 
-    /// Takes the open submissions whose deadline has passed. They stay open.
-    pub fn due(&mut self, now: Time) -> Vec<Arc<Job>> {
+    /// Returns the open submissions whose deadline has passed, each once. They stay open.
+    pub fn take_overdue(&mut self, now: Time) -> Vec<Arc<Job>> {
         let mut due = Vec::new();
         while let Some(Reverse((deadline, id))) = self.deadlines.peek().copied() {
             if deadline > now {
@@ -276,31 +280,32 @@
         due
     }
 
-    /// Takes the waiters who wait no longer, though their submission is open.
-    pub fn due_waiters(&mut self, now: Time) -> Vec<(SubmissionId, Waiter)> {
+    /// Removes and returns the waiters whose deadline has passed while their submission is open.
+    pub fn take_overdue_waiters(&mut self, now: Time) -> Vec<(SubmissionId, Waiter)> {
         let mut due = Vec::new();
-        while let Some(early) = self.early.peek().copied() {
+        while let Some(early) = self.early_waiters.peek().copied() {
             if early.deadline > now {
                 break;
             }
-            self.early.pop();
-            if self.abandon(early.id, early.waiter) {
+            self.early_waiters.pop();
+            if self.remove_waiter(early.id, early.waiter) {
                 due.push((early.id, early.waiter));
             }
         }
         due
     }
 
-    /// The earliest deadline; it may belong to a submission that has finished since.
+    /// Returns the earliest deadline. It may belong to a submission that has finished in the
+    /// meantime.
     pub fn next_deadline(&self) -> Time {
         let job = self.deadlines.peek().map_or(Time::NEVER, |Reverse((time, _))| *time);
-        let waiter = self.early.peek().map_or(Time::NEVER, |early| early.deadline);
+        let waiter = self.early_waiters.peek().map_or(Time::NEVER, |early| early.deadline);
         job.min(waiter)
     }
 
-    /// Forgets the finished submissions of `home` in epochs before `first`. An epoch with an open
-    /// submission is kept whole.
-    pub fn forget(&mut self, home: site::id::Home, first: u32) {
+    /// Removes the finished submissions of `home` in epochs before `first`. An epoch with an open
+    /// submission is kept completely.
+    pub fn forget_epochs(&mut self, home: site::id::Home, first: u32) {
         let old: Vec<_> = self
             .epochs
             .range(site::id::Token { home, epoch: 0 }..site::id::Token { home, epoch: first })
@@ -321,10 +326,16 @@
         self.answers.retain(|id| id.token != token);
     }
 
-    /// Takes over a finished submission of a home that has stopped.
-    pub fn adopt(&mut self, id: SubmissionId, firm: FirmId, content: u64, kept: Kept) {
-        let size = kept.size();
-        let record = Record { firm, content, state: State::Finished(kept) };
+    /// Takes over a finished submission of a stopped home. Does nothing if its identifier is known.
+    pub fn adopt(
+        &mut self,
+        id: SubmissionId,
+        firm: FirmId,
+        content_digest: u64,
+        stored: StoredAnswer,
+    ) {
+        let size = stored.size();
+        let record = Record { firm, content_digest, state: State::Finished(stored) };
         let records = self.epochs.entry(id.token).or_default();
         if records.contains_key(&id) {
             return;
@@ -333,10 +344,10 @@
         self.keep(id, size);
     }
 
-    /// All finished submissions, for a handover.
-    pub fn finished(&self) -> impl Iterator<Item = (SubmissionId, &Record, &Kept)> {
+    /// Iterates over all finished submissions, for a handover.
+    pub fn finished(&self) -> impl Iterator<Item = (SubmissionId, &Record, &StoredAnswer)> {
         self.epochs.values().flatten().filter_map(|(id, record)| match &record.state {
-            State::Finished(kept) => Some((*id, record, kept)),
+            State::Finished(stored) => Some((*id, record, stored)),
             State::Open(_) => None,
         })
     }
@@ -352,12 +363,12 @@
 
 fn size(record: &Record) -> usize {
     match &record.state {
-        State::Finished(kept) => kept.size(),
+        State::Finished(stored) => stored.size(),
         State::Open(_) => 0,
     }
 }
 
-/// What is told of an identifier whose answer is no longer kept.
-pub fn expired() -> Failure {
+/// Returns the failure for an identifier whose answer is no longer kept.
+pub fn expired_failure() -> Failure {
     Failure { outcome: Outcome::MayHaveRun, reason: Reason::Expired, retry_after: None }
 }
--- a/components/link/src/node/runtime.rs
+++ b/components/link/src/node/runtime.rs
@@ -34,7 +34,7 @@
 
 impl AsyncTimer for Deadline {
     fn reset(mut self: Pin<&mut Self>, at: Instant) {
-        self.0.set(at);
+        self.0.reset(at);
     }
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
--- a/components/link/tests/exchange.rs
+++ b/components/link/tests/exchange.rs
@@ -106,13 +106,13 @@
 fn a_frame_near_the_limit_passes_and_one_above_does_not() {
     block_on(async {
         let (one, two) = pair(&authority()).await;
-        let near = large(wire::MAX_FRAME - 64);
+        let near = large(wire::MAX_FRAME_BYTES - 64);
         one.node.send(two.home, &near).expect("it fits");
         match two.next().await {
             Incoming::Message { message, .. } => assert!(message == near),
             other => panic!("expected the message, got {other:?}"),
         }
-        let refusal = one.node.send(two.home, &large(wire::MAX_FRAME));
+        let refusal = one.node.send(two.home, &large(wire::MAX_FRAME_BYTES));
         assert!(matches!(refusal, Err(Error::Frame(wire::Error::TooLarge { .. }))));
         one.send(&two, 1);
         assert_eq!(two.message().await, (one.home, 1));
--- a/components/link/tests/failure.rs
+++ b/components/link/tests/failure.rs
@@ -89,7 +89,7 @@
 fn another_version_closes_with_its_code() {
     block_on(async {
         let mut bytes = hello(home(1, 1));
-        bytes[wire::frame::PREFIX] = VERSION + 1;
+        bytes[wire::frame::PREFIX_BYTES] = VERSION + 1;
         assert_eq!(answer_to(&bytes).await.0, Code::Version);
     });
 }
--- a/components/membership/src/keepers.rs
+++ b/components/membership/src/keepers.rs
@@ -1,4 +1,4 @@
-//! Which entries of a site keep executors, and how many of them each.
+//! Weights by which the executors of a data centre are divided among its entries.
 
 use rustc_hash::FxHashMap;
 use site::{
@@ -6,56 +6,61 @@
     unit::{Cores, Weight},
 };
 
-/// Large entries keep all executors of their data centre if this part of its processor, as a divisor,
-/// is left to them beside their other work.
-const LEAST_PART: u64 = 8;
+/// Divisor: large entries keep all executors of their data centre if the processor capacity that
+/// they have beyond the reserve is at least this fraction of the data centre's.
+const MIN_SPARE_DIVISOR: u64 = 8;
 
-/// Weights by which executors are shared out within each data centre. `homes` come with the processor
-/// that they may use, of which each needs `reserve` for its callers and connections.
+/// Returns the weights by which executors are divided within each data centre. `homes` lists the
+/// processor capacity that each may use, of which it needs `reserve` for its callers and
+/// connections.
 ///
-/// Only entries with more than that have weight, so that work waits in few places and small entries
-/// have time for their callers. Where such entries are too few, weights go by the processor; where no
-/// processor is known, they are equal. At least one home of each data centre has weight.
-pub fn weigh(homes: &[(Home, Cores)], reserve: Cores) -> Vec<(Home, Weight)> {
+/// Only entries with more than `reserve` get a weight above zero, so that work queues at few
+/// entries and small entries have time for their callers. Where such entries have too little
+/// capacity, weights follow the whole capacity; where no capacity is known, they are equal. At
+/// least one home of each data centre has a weight above zero.
+pub fn weights(homes: &[(Home, Cores)], reserve: Cores) -> Vec<(Home, Weight)> {
     let mut totals: FxHashMap<DataCentreId, Total> = FxHashMap::default();
     for (home, cores) in homes {
         let total = totals.entry(home.data_centre).or_default();
-        total.all += u64::from(cores.0);
-        total.beyond += u64::from(cores.0.saturating_sub(reserve.0));
+        total.whole += u64::from(cores.0);
+        total.spare += u64::from(cores.0.saturating_sub(reserve.0));
     }
     let weight = |home: &Home, cores: Cores| {
         let total = totals.get(&home.data_centre).copied().unwrap_or_default();
-        match total.share() {
-            Share::Beyond => cores.0.saturating_sub(reserve.0),
-            Share::All => cores.0,
-            Share::Even => 1,
+        match total.basis() {
+            Basis::Spare => cores.0.saturating_sub(reserve.0),
+            Basis::Whole => cores.0,
+            Basis::Equal => 1,
         }
     };
     homes.iter().map(|(home, cores)| (*home, Weight(weight(home, *cores)))).collect()
 }
 
-/// The processor of a data centre's entries.
+/// Processor capacity of a data centre's entries, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
-    all: u64,
-    /// The part of it that large entries have beyond the reserve.
-    beyond: u64,
+    whole: u64,
+    /// Capacity that large entries have beyond the reserve.
+    spare: u64,
 }
 
-/// What executors are shared out by.
+/// The quantity that weights follow.
 #[derive(Clone, Copy, Debug)]
-enum Share {
-    Beyond,
-    All,
-    Even,
+enum Basis {
+    /// Capacity beyond the reserve.
+    Spare,
+    /// Whole capacity.
+    Whole,
+    /// The same weight for each.
+    Equal,
 }
 
 impl Total {
-    fn share(&self) -> Share {
-        match (self.all, self.beyond * LEAST_PART >= self.all) {
-            (0, _) => Share::Even,
-            (_, true) => Share::Beyond,
-            (_, false) => Share::All,
+    fn basis(&self) -> Basis {
+        match (self.whole, self.spare * MIN_SPARE_DIVISOR >= self.whole) {
+            (0, _) => Basis::Equal,
+            (_, true) => Basis::Spare,
+            (_, false) => Basis::Whole,
         }
     }
 }
--- a/components/membership/src/mesh.rs
+++ b/components/membership/src/mesh.rs
@@ -1,4 +1,4 @@
-//! Which entries keep a connection to each other.
+//! Chooses the pairs of entries that keep a connection to each other.
 
 use crate::rendezvous;
 use site::{
@@ -7,45 +7,47 @@
 };
 use std::collections::BTreeMap;
 
-/// Up to so many entries, each is connected to every other one. More connections than that take an
-/// entry too long to make when it starts.
-pub const FULL_MESH: usize = 48;
+/// Maximum number of entries that form a full mesh. With more, an entry takes too long at its start
+/// to connect to all others.
+pub const MAX_FULL_MESH_ENTRIES: usize = 48;
 
-/// Connections that each entry of the larger of two data centres has to the other one, in a site
-/// of more entries than [`FULL_MESH`]. One may be down and another one far behind.
-pub const FAR_PARTNERS: usize = 2;
+/// Number of connections that each entry of the larger of two data centres has to the other one, in
+/// a site of more entries than [`MAX_FULL_MESH_ENTRIES`]. One may be down and the other one may
+/// lag.
+pub const REMOTE_PEERS: usize = 2;
 
-/// The entries that `me` keeps connections to, all with the same weight: all in a small site; else all
-/// of the own data centre and a few of each other one. Symmetric for entries that know the same homes.
-pub fn partners(me: Home, homes: &[Home]) -> Vec<Home> {
+/// Returns the entries that `me` keeps connections to if all have the same weight. In a site of up
+/// to [`MAX_FULL_MESH_ENTRIES`] entries these are all others; in a larger one, all of its data
+/// centre and a few of each other one. Symmetric between entries that know the same homes.
+pub fn peers(me: Home, homes: &[Home]) -> Vec<Home> {
     let homes: Vec<_> = homes.iter().map(|home| (*home, Weight(1))).collect();
-    weighted_partners(me, &homes)
+    weighted_peers(me, &homes)
 }
 
-/// Like [`partners`], but in a large site each connection has an entry with weight at one end: only such
-/// entries keep executors that tasks can be sent to. One without weight is connected to all with
-/// weight of its own data centre and a few of each other one, so that its connections don't grow with
-/// the entries that are like it.
-pub fn weighted_partners(me: Home, homes: &[(Home, Weight)]) -> Vec<Home> {
+/// Like [`peers`], but in a large site at least one end of each connection is an entry of nonzero
+/// weight, since only such entries keep executors that tasks can be sent to. An entry of zero
+/// weight is connected to all entries of nonzero weight in its data centre and to a few in each
+/// other one, so that its connections don't grow with the number of entries of zero weight.
+pub fn weighted_peers(me: Home, homes: &[(Home, Weight)]) -> Vec<Home> {
     let others = homes.iter().map(|(home, _)| *home).filter(|home| home.entry != me.entry);
-    if homes.len() <= FULL_MESH {
+    if homes.len() <= MAX_FULL_MESH_ENTRIES {
         return others.collect();
     }
     let mut data_centres: BTreeMap<DataCentreId, Entries> = BTreeMap::new();
     for (home, weight) in homes.iter().filter(|(home, _)| home.entry != me.entry) {
         data_centres.entry(home.data_centre).or_default().insert(*home, weight.0 > 0);
     }
-    let keeps = homes.iter().any(|(home, weight)| home.entry == me.entry && weight.0 > 0);
-    data_centres.entry(me.data_centre).or_default().insert(me, keeps);
+    let is_keeper = homes.iter().any(|(home, weight)| home.entry == me.entry && weight.0 > 0);
+    data_centres.entry(me.data_centre).or_default().insert(me, is_keeper);
     data_centres.values_mut().for_each(Entries::sort);
     let own = data_centres.remove(&me.data_centre).unwrap_or_default();
     let near = own.all().filter(|home| home.entry != me.entry);
-    let near = near.filter(|home| keeps || own.keepers.contains(home));
+    let near = near.filter(|home| is_keeper || own.keepers.contains(home));
     let far = data_centres.values().flat_map(|theirs| remote(me, &own, theirs));
     near.chain(far).collect()
 }
 
-/// The entries of a data centre.
+/// The entries of a data centre, by whether they keep executors.
 #[derive(Debug, Default)]
 struct Entries {
     keepers: Vec<Home>,
@@ -53,8 +55,8 @@
 }
 
 impl Entries {
-    fn insert(&mut self, home: Home, keeps: bool) {
-        match keeps {
+    fn insert(&mut self, home: Home, is_keeper: bool) {
+        match is_keeper {
             true => self.keepers.push(home),
             false => self.others.push(home),
         }
@@ -70,24 +72,24 @@
     }
 }
 
-/// The partners of `me` in another data centre.
+/// Returns the entries of another data centre that `me` keeps connections to.
 fn remote(me: Home, own: &Entries, theirs: &Entries) -> Vec<Home> {
     let rank = |homes: &[Home]| homes.iter().position(|home| home.entry == me.entry);
     if rank(&own.others).is_some() {
         return chosen(me, &theirs.keepers);
     }
-    // Always there: it was put in among these or the others.
+    // Always found: `me` was inserted either here or among the others.
     let rank = rank(&own.keepers).unwrap_or_default();
     let (ours, count) = (own.keepers.len(), theirs.keepers.len());
     let own_is_smaller = (ours, me.data_centre)
         < (count, theirs.keepers.first().map_or(me, |home| *home).data_centre);
-    let mut partners = select(&theirs.keepers, |their_rank| match own_is_smaller {
+    let mut peers = select(&theirs.keepers, |their_rank| match own_is_smaller {
         true => is_pair(rank, ours, their_rank),
         false => is_pair(their_rank, count, rank),
     });
     let choose_me = |other: &&Home| chosen(**other, &own.keepers).contains(&me);
-    partners.extend(theirs.others.iter().filter(choose_me));
-    partners
+    peers.extend(theirs.others.iter().filter(choose_me));
+    peers
 }
 
 fn select(homes: &[Home], is_linked: impl Fn(usize) -> bool) -> Vec<Home> {
@@ -95,8 +97,9 @@
     ranked.filter(|(rank, _)| is_linked(*rank)).map(|(_, home)| *home).collect()
 }
 
-/// The keepers of another data centre that an entry without weight is linked to. A keeper that comes or
-/// goes changes the links of few entries; one that starts again changes none.
+/// Returns the keepers of another data centre that an entry of zero weight is connected to. A
+/// keeper that joins or leaves changes the connections of few entries; one that restarts changes
+/// none.
 fn chosen(other: Home, keepers: &[Home]) -> Vec<Home> {
     let rank = |keeper: &Home| {
         let stable = Home { incarnation: Incarnation(0), ..*keeper };
@@ -104,12 +107,12 @@
     };
     let mut ranked = keepers.to_vec();
     ranked.sort_by_cached_key(rank);
-    ranked.truncate(FAR_PARTNERS);
+    ranked.truncate(REMOTE_PEERS);
     ranked
 }
 
-/// Whether the entry at rank `low` of the smaller data centre, which has `count`, is linked to the
-/// one at rank `high` of the larger.
+/// Returns whether the entry at rank `low` of the smaller data centre, which has `count` entries,
+/// is connected to the one at rank `high` of the larger.
 fn is_pair(low: usize, count: usize, high: usize) -> bool {
-    (low + count - high % count) % count < FAR_PARTNERS
+    (low + count - high % count) % count < REMOTE_PEERS
 }
--- a/components/membership/src/rendezvous.rs
+++ b/components/membership/src/rendezvous.rs
@@ -1,6 +1,6 @@
-//! Rendezvous hashing: choices that all who know the same homes make alike.
+//! Rendezvous hashing: entries that know the same homes make the same choices.
 
-use crate::options::REMOTE_LINKS;
+use crate::options::REMOTE_HEARTBEAT_PEERS;
 use rustc_hash::FxHashMap;
 use site::{
     id::{EndpointId, Home},
@@ -9,41 +9,43 @@
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The home with the highest score for `endpoint`; `None` without homes.
+/// Returns the home with the highest score for `endpoint`; `None` without homes.
 ///
-/// Removing a home moves only the endpoints that it had.
+/// Removing a home moves only the endpoints that it kept.
 pub fn keeper(homes: &[Home], endpoint: EndpointId) -> Option<Home> {
     homes.iter().copied().max_by_key(|home| (score(*home, endpoint), *home))
 }
 
-/// Like [`keeper`], but each home has a part of all endpoints in proportion to its weight; one
-/// without weight has none. `None` without any weight.
+/// Like [`keeper`], but each home keeps a share of the endpoints in proportion to its weight; a
+/// home of zero weight keeps none. `None` if no weight is above zero.
 ///
 /// A change of one home's weight moves endpoints to or from that home only.
 pub fn weighted_keeper(homes: &[(Home, Weight)], endpoint: EndpointId) -> Option<Home> {
-    let weighed = homes.iter().filter(|(_, weight)| weight.0 > 0);
-    let scored = weighed.map(|(home, weight)| (weighted_score(*home, *weight, endpoint), *home));
+    let weighted = homes.iter().filter(|(_, weight)| weight.0 > 0);
+    let scored = weighted.map(|(home, weight)| (weighted_score(*home, *weight, endpoint), *home));
     let best = scored.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))?;
     Some(best.1)
 }
 
-/// The highest of such scores is a home's with a probability in proportion to its weight.
+/// Returns a score that is the highest of all homes with probability proportional to the weight.
 fn weighted_score(home: Home, weight: Weight, endpoint: EndpointId) -> f64 {
-    // Above 0 and below 1, or next to it.
-    let part = (score(home, endpoint) as f64 + 0.5) / 2f64.powi(64);
-    f64::from(weight.0) / -part.ln().min(-f64::MIN_POSITIVE)
+    // Above 0 and at most 1, since the division may round up.
+    let fraction = (score(home, endpoint) as f64 + 0.5) / 2f64.powi(64);
+    f64::from(weight.0) / -fraction.ln().min(-f64::MIN_POSITIVE)
 }
 
-/// Pairs of entries of two data centres that exchange heartbeats. Symmetric in its arguments.
+/// Returns the pairs of entries of two data centres that exchange heartbeats. Symmetric in its
+/// arguments.
 ///
-/// Each home of the larger side gets [`REMOTE_LINKS`] pairs where that is possible and at least
-/// one always; the smaller side shares these evenly, and each of its homes gets at least one.
-pub fn pairs(ours: &[Home], theirs: &[Home]) -> Vec<(Home, Home)> {
+/// Each home of the larger side gets [`REMOTE_HEARTBEAT_PEERS`] pairs where possible and always at
+/// least one; they are spread evenly over the smaller side, and each of its homes gets at least
+/// one.
+pub fn heartbeat_pairs(ours: &[Home], theirs: &[Home]) -> Vec<(Home, Home)> {
     if ours.is_empty() || theirs.is_empty() {
         return Vec::new();
     }
     let larger = ours.len().max(theirs.len());
-    let cap = |side: &[Home]| (REMOTE_LINKS * larger).div_ceil(side.len());
+    let cap = |side: &[Home]| (REMOTE_HEARTBEAT_PEERS * larger).div_ceil(side.len());
     let (our_cap, their_cap) = (cap(ours), cap(theirs));
     let ranked = ranked_pairs(ours, theirs);
     let mut degree = FxHashMap::<Home, usize>::default();
@@ -85,14 +87,15 @@
     rank(home, endpoint.0)
 }
 
-/// The place of a home in an order that differs from one `subject` to another.
+/// Returns the hash by which homes are ordered for `subject`.
 pub fn rank(home: Home, subject: u64) -> u64 {
     digest([home.data_centre.0, home.entry.0, home.incarnation.0, subject])
 }
 
 fn pair_score(low: Home, high: Home) -> u64 {
-    let half = |home: Home| digest([home.data_centre.0, home.entry.0, home.incarnation.0, 0]);
-    digest([half(low), half(high), 0, 0])
+    let home_digest =
+        |home: Home| digest([home.data_centre.0, home.entry.0, home.incarnation.0, 0]);
+    digest([home_digest(low), home_digest(high), 0, 0])
 }
 
 fn digest(words: [u64; 4]) -> u64 {
--- a/components/membership/src/view/gone.rs
+++ b/components/membership/src/view/gone.rs
@@ -1,14 +1,14 @@
-//! Homes that will never be live again.
+//! Bounded set of homes that are gone.
 
 use crate::options::MAX_GONE;
 use rustc_hash::FxHashSet;
 use site::id::Home;
 use std::collections::VecDeque;
 
-/// The latest [`MAX_GONE`] homes that are gone.
+/// The [`MAX_GONE`] homes that were found to be gone most recently.
 #[derive(Debug, Default)]
 pub(super) struct Gone {
-    /// The members of `order`.
+    /// The same homes as in `order`.
     homes: FxHashSet<Home>,
     /// Oldest first; never longer than [`MAX_GONE`].
     order: VecDeque<Home>,
--- a/components/membership/src/view/member.rs
+++ b/components/membership/src/view/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one peer.
+//! State of one peer.
 
 use crate::Options;
 use site::unit::{Span, Time};
@@ -6,97 +6,98 @@
 /// A peer that is not gone.
 #[derive(Debug)]
 pub(super) struct Member {
-    /// When the view learned of it.
-    pub(super) known: Time,
-    /// When it was last heard from. Set to the present after a pause of the own process.
-    pub(super) heard: Option<Time>,
-    /// A connection to it is up.
+    /// When the view first learned of the peer.
+    pub(super) known_since: Time,
+    /// When the last message of the peer arrived. Set to the current time after a pause of the own
+    /// process.
+    pub(super) last_contact: Option<Time>,
+    /// Whether a connection to it is up.
     pub(super) connected: bool,
-    /// A connection to it failed since it was last heard from.
+    /// Whether a connection to it has failed since its last message.
     pub(super) failed: bool,
-    /// It admits nothing more. Never unset.
+    /// Whether it admits no more submissions. Never unset.
     pub(super) draining: bool,
-    /// The latest registry list holds it.
+    /// Whether the latest registry list includes it.
     pub(super) registered: bool,
-    /// It was heard within the last `suspect_after`, as of the last refresh or message.
+    /// Whether a message arrived within `suspect_after`, as of the last refresh or message.
     pub(super) alive: bool,
-    /// Falls into silence, each within `steady_after` of the one before.
-    falls: u32,
-    /// The latest of them.
-    fell: Time,
-    /// Counts as a member once it is heard from at or after this.
+    /// How often the peer became unresponsive, each time within `flap_window` of the time before.
+    flaps: u32,
+    /// When it last became unresponsive.
+    last_flap: Time,
+    /// The peer is listed as live once a message arrives at or after this time.
     held_until: Time,
 }
 
 impl Member {
     pub(super) fn new(now: Time) -> Self {
         Self {
-            known: now,
-            heard: None,
+            known_since: now,
+            last_contact: None,
             connected: false,
             failed: false,
             draining: false,
             registered: false,
             alive: false,
-            falls: 0,
-            fell: Time(0),
+            flaps: 0,
+            last_flap: Time(0),
             held_until: now,
         }
     }
 
-    /// Notes a sign of life. Returns whether it ended a silence or the time under observation.
-    pub(super) fn hear(&mut self, now: Time, options: &Options) -> bool {
-        let was_held = self.held();
-        self.heard = Some(now);
+    /// Records a message. Returns whether the peer was unresponsive or left its hold-down.
+    pub(super) fn record_contact(&mut self, now: Time, options: &Options) -> bool {
+        let was_held_down = self.is_held_down();
+        self.last_contact = Some(now);
         self.failed = false;
         if self.alive {
-            return was_held && !self.held();
+            return was_held_down && !self.is_held_down();
         }
         self.alive = true;
-        self.held_until = now + hold(self.falls, options);
+        self.held_until = now + hold_down(self.flaps, options);
         true
     }
 
-    /// Notes that the peer is silent as was to be expected: nothing is held against it.
-    pub(super) fn rest(&mut self) {
+    /// Records that the peer is unresponsive but presumed live, which is not a flap.
+    pub(super) fn mark_unresponsive(&mut self) {
         self.alive = false;
     }
 
-    /// Notes that the peer fell silent.
-    pub(super) fn fall(&mut self, now: Time, options: &Options) {
-        if now.since(self.fell) > options.steady_after {
-            self.falls = 0;
+    /// Records that the peer became unresponsive.
+    pub(super) fn record_flap(&mut self, now: Time, options: &Options) {
+        if now.since(self.last_flap) > options.flap_window {
+            self.flaps = 0;
         }
         self.alive = false;
-        self.falls = self.falls.saturating_add(1);
-        self.fell = now;
+        self.flaps = self.flaps.saturating_add(1);
+        self.last_flap = now;
     }
 
-    /// When the peer counts as silent; in the past if it does already.
-    pub(super) fn silent_at(&self, options: &Options) -> Time {
-        self.heard.map_or(Time(0), |heard| heard + options.suspect_after)
+    /// Returns when the peer becomes unresponsive; in the past if it already is.
+    pub(super) fn unresponsive_at(&self, options: &Options) -> Time {
+        self.last_contact.map_or(Time(0), |last_contact| last_contact + options.suspect_after)
     }
 
-    pub(super) fn silent(&self, now: Time, options: &Options) -> bool {
-        self.silent_at(options) <= now
+    pub(super) fn is_unresponsive(&self, now: Time, options: &Options) -> bool {
+        self.unresponsive_at(options) <= now
     }
 
-    /// Whether it is still under observation after repeated silences.
-    pub(super) fn held(&self) -> bool {
-        self.heard.is_some_and(|heard| heard < self.held_until)
+    /// Returns whether the peer is kept out of the live members after repeated timeouts.
+    pub(super) fn is_held_down(&self) -> bool {
+        self.last_contact.is_some_and(|last_contact| last_contact < self.held_until)
     }
 
-    /// The last moment at which anything was learned of it.
-    pub(super) fn last_sign(&self) -> Time {
-        self.heard.unwrap_or(self.known)
+    /// Returns when the last message arrived, or when the view learned of the peer if none did.
+    pub(super) fn last_contact_or_known_since(&self) -> Time {
+        self.last_contact.unwrap_or(self.known_since)
     }
 }
 
-/// Nothing for the first fall, then doubling from `suspect_after`.
-fn hold(falls: u32, options: &Options) -> Span {
-    if falls < 2 {
+/// Returns the hold-down time: zero for the first timeout, then doubling from `suspect_after`.
+fn hold_down(flaps: u32, options: &Options) -> Span {
+    if flaps < 2 {
         return Span::ZERO;
     }
-    let factor = 1u64 << (falls - 2).min(16);
-    Span(options.suspect_after.0.saturating_mul(factor)).min(options.max_hold)
+    let factor = 1u64 << (flaps - 2).min(16);
+    Span(options.suspect_after.0.saturating_mul(factor)).min(options.max_hold_down)
 }
--- a/components/membership/src/view/refresh.rs
+++ b/components/membership/src/view/refresh.rs
@@ -1,4 +1,4 @@
-//! What a [`View`] derives from its members.
+//! Derives the status of members and the live lists of a [`View`].
 
 use super::{Member, Status, View};
 use crate::{options::MAX_MEMBERS, rendezvous};
@@ -9,8 +9,8 @@
 use std::{collections::BTreeMap, mem};
 
 impl View {
-    /// The member for `home`, made if it is new; `None` for the own home, one that is gone, and
-    /// when there are too many.
+    /// Returns the member for `home`, and inserts it if it is new. `None` for the own home, for a
+    /// home that is gone, and when [`MAX_MEMBERS`] are known.
     pub(super) fn member(&mut self, home: Home) -> Option<&mut Member> {
         if home == self.own || self.gone.contains(home) {
             return None;
@@ -25,28 +25,28 @@
         self.members.get_mut(&home)
     }
 
-    /// Moves time forward. A jump means that the own process was paused: nobody could be heard
-    /// meanwhile, so those who were alive before it get a fresh period.
+    /// Moves time forward. A jump means that the own process was paused and could receive no
+    /// messages meanwhile, so the timeout of peers that were alive before it starts again.
     pub(super) fn advance(&mut self, now: Time) {
         let paused = now.since(self.now) > self.options.suspect_after;
         if paused {
-            self.members.values_mut().filter(|m| m.alive).for_each(|m| m.heard = Some(now));
+            self.members.values_mut().filter(|m| m.alive).for_each(|m| m.last_contact = Some(now));
         }
         self.now = self.now.max(now);
     }
 
-    /// The moment up to which silence counts: `now`, unless the own process was paused and
-    /// [`View::advance`] has not run since.
+    /// Returns the time up to which timeouts are measured: `now`, unless the own process was paused
+    /// and [`View::advance`] has not run since.
     pub(super) fn settled(&self, now: Time) -> Time {
         let paused = now.since(self.now) > self.options.suspect_after;
         if paused { self.now } else { now }
     }
 
-    /// Derives everything anew for the present. Returns whether the live members changed.
+    /// Recomputes all derived state for the current time. Returns whether the live members changed.
     pub(super) fn refresh(&mut self) -> bool {
-        self.note_silence();
-        self.bury();
-        self.forget();
+        self.mark_unresponsive_members();
+        self.remove_ended();
+        self.remove_stale();
         self.update_links();
         self.next_check = self.earliest_change();
         let live = self.list_live();
@@ -65,7 +65,7 @@
         let ours = known.remove(&self.own.data_centre).unwrap_or_default();
         self.links = known
             .values()
-            .flat_map(|theirs| rendezvous::pairs(&ours, theirs))
+            .flat_map(|theirs| rendezvous::heartbeat_pairs(&ours, theirs))
             .filter_map(|(ours, theirs)| (ours == self.own).then_some(theirs))
             .collect();
     }
@@ -75,62 +75,64 @@
     }
 
     pub(super) fn member_status(&self, now: Time, home: Home, member: &Member) -> Status {
-        let believed = !member.silent(now, &self.options) || self.presumed(now, home, member);
-        match (believed, member.draining) {
+        let alive =
+            !member.is_unresponsive(now, &self.options) || self.is_presumed_live(now, home, member);
+        match (alive, member.draining) {
             (true, false) => Status::Live,
             (true, true) => Status::Draining,
             (false, _) => Status::Unreachable,
         }
     }
 
-    /// Whether a home that is not known has been replaced by another process of its entry, or
-    /// has lost its VM.
+    /// Returns whether an unknown home has been replaced by another process of its entry, or has
+    /// lost its VM.
     ///
-    /// An unknown home may be the newer of two processes. So the other one must have been heard
-    /// well after the home was first asked for: a newer one would have made itself known by then.
-    pub(super) fn replaced(&self, now: Time, home: Home) -> bool {
-        if self.lost_machines.contains(&home.entry) {
+    /// An unknown home may be the newer of two processes. So a message of the other one must have
+    /// arrived at least `suspect_after` after the first query for the home: a newer process would
+    /// have become known by then.
+    pub(super) fn is_replaced(&self, now: Time, home: Home) -> bool {
+        if self.missing_vms.contains(&home.entry) {
             return true;
         }
-        let Some(asked) = self.asked.get(&home) else {
+        let Some(queried) = self.queried.get(&home) else {
             return false;
         };
-        let known_by = *asked + self.options.suspect_after;
-        let later = |m: &Member| !m.draining && m.heard >= Some(known_by);
+        let known_by = *queried + self.options.suspect_after;
+        let later = |m: &Member| !m.draining && m.last_contact >= Some(known_by);
         (home.entry == self.own.entry && now >= known_by)
             || self.members.iter().any(|(other, m)| other.entry == home.entry && later(m))
     }
 
-    /// Whether a home without heartbeats is believed live.
-    fn presumed(&self, now: Time, home: Home, member: &Member) -> bool {
-        let unwatched = !self.exchanges_heartbeats(home);
+    /// Returns whether a home that exchanges no heartbeats with this one is presumed live.
+    fn is_presumed_live(&self, now: Time, home: Home, member: &Member) -> bool {
+        let no_heartbeats = !self.exchanges_heartbeats(home);
         let plausible = (member.registered || member.connected) && !member.failed;
-        unwatched && plausible && self.hears_from(now, home.data_centre)
+        no_heartbeats && plausible && self.is_data_centre_alive(now, home.data_centre)
     }
 
-    fn hears_from(&self, now: Time, data_centre: DataCentreId) -> bool {
-        let heard = |m: &Member| !m.silent(now, &self.options);
-        self.members.iter().any(|(home, m)| home.data_centre == data_centre && heard(m))
+    fn is_data_centre_alive(&self, now: Time, data_centre: DataCentreId) -> bool {
+        let alive = |m: &Member| !m.is_unresponsive(now, &self.options);
+        self.members.iter().any(|(home, m)| home.data_centre == data_centre && alive(m))
     }
 
-    fn note_silence(&mut self) {
-        let fallen: Vec<_> = self
+    fn mark_unresponsive_members(&mut self) {
+        let unresponsive: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, m)| m.alive && m.silent(self.now, &self.options))
-            .map(|(home, m)| (*home, self.presumed(self.now, *home, m)))
+            .filter(|(_, m)| m.alive && m.is_unresponsive(self.now, &self.options))
+            .map(|(home, m)| (*home, self.is_presumed_live(self.now, *home, m)))
             .collect();
-        for (home, presumed) in fallen {
+        for (home, presumed) in unresponsive {
             let Some(member) = self.members.get_mut(&home) else { continue };
             match presumed {
-                true => member.rest(),
-                false => member.fall(self.now, &self.options),
+                true => member.mark_unresponsive(),
+                false => member.record_flap(self.now, &self.options),
             }
         }
     }
 
     /// Moves the members that have ended to `gone`.
-    fn bury(&mut self) {
+    fn remove_ended(&mut self) {
         let ended: Vec<_> = self
             .members
             .iter()
@@ -145,46 +147,52 @@
     }
 
     fn has_ended(&self, home: Home, member: &Member) -> bool {
-        if !member.silent(self.now, &self.options) {
+        if !member.is_unresponsive(self.now, &self.options) {
             return false;
         }
-        self.lost_machines.contains(&home.entry) || self.superseded(home, member)
+        self.missing_vms.contains(&home.entry) || self.is_superseded(home, member)
     }
 
-    /// Whether another process of the entry was heard while this one was silent. One that was
-    /// never heard may be the newer of the two, and a draining one may be the older.
+    /// Returns whether a message of another process of the entry arrived while this one was
+    /// unresponsive. A process without any message may be the newer of the two, and a draining one
+    /// may be the older.
     ///
-    /// Of the own entry there can't be a newer process that keeps silent: it would have taken over
-    /// this one's addresses and registration.
-    fn superseded(&self, home: Home, member: &Member) -> bool {
+    /// An unresponsive process of the own entry can't be newer: it would have taken over this one's
+    /// addresses and registration.
+    fn is_superseded(&self, home: Home, member: &Member) -> bool {
         if member.connected {
             return false;
         }
-        let since = member.last_sign() + self.options.suspect_after;
+        let since = member.last_contact_or_known_since() + self.options.suspect_after;
         if home.entry == self.own.entry {
             return self.now >= since;
         }
         let other = |(other, m): (&Home, &Member)| {
-            other.entry == home.entry && *other != home && !m.draining && m.heard >= Some(since)
+            other.entry == home.entry
+                && *other != home
+                && !m.draining
+                && m.last_contact >= Some(since)
         };
-        member.heard.is_some() && self.members.iter().any(other)
+        member.last_contact.is_some() && self.members.iter().any(other)
     }
 
-    /// Drops members of which nothing was learned for long. Unknown homes are never live, so
-    /// this can't bring one back.
-    fn forget(&mut self) {
+    /// Removes members without connection and registration whose last message is older than
+    /// `forget_after`. Unknown homes are never live, so this makes none live again.
+    fn remove_stale(&mut self) {
         let (now, span) = (self.now, self.options.forget_after);
         let before = self.members.len();
-        self.members.retain(|_, m| m.registered || m.connected || now.since(m.last_sign()) < span);
+        self.members.retain(|_, m| {
+            m.registered || m.connected || now.since(m.last_contact_or_known_since()) < span
+        });
         self.links_stale |= self.members.len() != before;
     }
 
     fn list_live(&self) -> BTreeMap<DataCentreId, Vec<Home>> {
         let mut live = BTreeMap::<DataCentreId, Vec<Home>>::new();
-        let counts = |(home, m): &(&Home, &Member)| {
-            !m.held() && self.member_status(self.now, **home, m) == Status::Live
+        let is_live = |(home, m): &(&Home, &Member)| {
+            !m.is_held_down() && self.member_status(self.now, **home, m) == Status::Live
         };
-        let peers = self.members.iter().filter(counts).map(|(home, _)| *home);
+        let peers = self.members.iter().filter(is_live).map(|(home, _)| *home);
         let own = (!self.draining).then_some(self.own);
         for home in peers.chain(own) {
             live.entry(home.data_centre).or_default().push(home);
@@ -193,12 +201,13 @@
         live
     }
 
-    /// The earliest moment at which time alone changes something.
+    /// Returns the earliest time at which a status changes without any event.
     fn earliest_change(&self) -> Time {
-        let silences =
-            self.members.values().filter(|m| m.alive).map(|m| m.silent_at(&self.options));
+        let timeouts =
+            self.members.values().filter(|m| m.alive).map(|m| m.unresponsive_at(&self.options));
         let own = self.members.iter().filter(|(home, _)| home.entry == self.own.entry);
-        let ends = own.map(|(_, m)| m.last_sign() + self.options.suspect_after);
-        silences.chain(ends).filter(|at| *at > self.now).min().unwrap_or(Time::NEVER)
+        let supersessions =
+            own.map(|(_, m)| m.last_contact_or_known_since() + self.options.suspect_after);
+        timeouts.chain(supersessions).filter(|at| *at > self.now).min().unwrap_or(Time::NEVER)
     }
 }
--- a/components/membership/tests/properties.rs
+++ b/components/membership/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for all homes and all orders of events.
+//! Property tests over arbitrary homes and orders of events.
 
 use membership::{Options, Status, View, rendezvous};
 use proptest::prelude::*;
@@ -21,14 +21,14 @@
     (0..200).map(|n| EndpointId::of(&format!("executor-{n}")))
 }
 
-/// Something that a view is told.
+/// An event that is passed to a view.
 #[derive(Clone, Debug)]
 enum Step {
     Hear(usize, bool),
     Connected(usize),
     Disconnected(usize),
     Registered(Vec<usize>),
-    MachinesGone(Vec<usize>),
+    VmsMissing(Vec<usize>),
     Wait(u64),
 }
 
@@ -39,7 +39,7 @@
         1 => any::<usize>().prop_map(Step::Connected),
         1 => any::<usize>().prop_map(Step::Disconnected),
         1 => several().prop_map(Step::Registered),
-        1 => several().prop_map(Step::MachinesGone),
+        1 => several().prop_map(Step::VmsMissing),
         4 => (0..2_500u64).prop_map(Step::Wait),
     ]
 }
@@ -47,14 +47,14 @@
 fn apply(view: &mut View, now: &mut Time, step: &Step, all: &[Home]) -> bool {
     let pick = |n: &usize| all[n % all.len()];
     match step {
-        Step::Hear(peer, draining) => view.hear(*now, pick(peer), *draining),
+        Step::Hear(peer, draining) => view.record_contact(*now, pick(peer), *draining),
         Step::Connected(peer) => view.connected(*now, pick(peer)),
         Step::Disconnected(peer) => view.disconnected(*now, pick(peer)),
         Step::Registered(peers) => {
             view.registered(*now, &peers.iter().map(pick).collect::<Vec<_>>())
         }
-        Step::MachinesGone(peers) => {
-            view.machines_gone(&peers.iter().map(|peer| pick(peer).entry).collect::<Vec<_>>())
+        Step::VmsMissing(peers) => {
+            view.vms_missing(&peers.iter().map(|peer| pick(peer).entry).collect::<Vec<_>>())
         }
         Step::Wait(ms) => {
             *now = *now + Span::from_millis(*ms);
@@ -69,7 +69,7 @@
 
 proptest! {
     #[test]
-    fn same_homes_same_keeper(all in homes(1..30), seed in any::<u64>()) {
+    fn the_keeper_does_not_depend_on_the_order_of_homes(all in homes(1..30), seed in any::<u64>()) {
         let mut other = all.clone();
         let shift = seed as usize % all.len();
         other.rotate_left(shift);
@@ -82,11 +82,11 @@
     }
 
     #[test]
-    fn same_view_same_keeper(all in homes(2..10)) {
+    fn entries_with_the_same_members_agree_on_keepers(all in homes(2..10)) {
         let all: Vec<_> = all.into_iter().map(|h| Home { data_centre: DataCentreId(0), ..h }).collect();
         let views: Vec<_> = all.iter().map(|own| {
             let mut view = View::new(*own, Options::default());
-            all.iter().for_each(|peer| { view.hear(Time(1), *peer, false); });
+            all.iter().for_each(|peer| { view.record_contact(Time(1), *peer, false); });
             view
         }).collect();
         for endpoint in endpoints() {
@@ -97,13 +97,13 @@
     }
 
     #[test]
-    fn only_the_endpoints_of_the_dead_move(all in homes(2..30), dead in any::<usize>()) {
-        let dead = all[dead % all.len()];
-        let rest: Vec<_> = all.iter().copied().filter(|home| *home != dead).collect();
+    fn removing_a_home_moves_only_its_endpoints(all in homes(2..30), removed in any::<usize>()) {
+        let removed = all[removed % all.len()];
+        let remaining: Vec<_> = all.iter().copied().filter(|home| *home != removed).collect();
         for endpoint in endpoints() {
             let before = View::keeper_among(&all, endpoint);
-            let after = View::keeper_among(&rest, endpoint);
-            prop_assert!(before == Some(dead) || before == after);
+            let after = View::keeper_among(&remaining, endpoint);
+            prop_assert!(before == Some(removed) || before == after);
         }
     }
 
@@ -111,9 +111,9 @@
     fn pairs_are_symmetric(all in homes(2..40)) {
         let (ours, theirs): (Vec<_>, Vec<_>) =
             all.into_iter().filter(|h| h.data_centre.0 < 2).partition(|h| h.data_centre.0 == 0);
-        let forth: BTreeSet<_> = rendezvous::pairs(&ours, &theirs).into_iter().collect();
+        let forth: BTreeSet<_> = rendezvous::heartbeat_pairs(&ours, &theirs).into_iter().collect();
         let back: BTreeSet<_> =
-            rendezvous::pairs(&theirs, &ours).into_iter().map(|(a, b)| (b, a)).collect();
+            rendezvous::heartbeat_pairs(&theirs, &ours).into_iter().map(|(a, b)| (b, a)).collect();
         prop_assert_eq!(forth, back);
     }
 
--- a/components/membership/tests/weights.rs
+++ b/components/membership/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are shared out by weight.
+//! Division of endpoints among entries by weight.
 
 use membership::{keepers, rendezvous};
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn each_home_has_its_part() {
+fn each_home_keeps_endpoints_in_proportion_to_its_weight() {
     let weights = [380, 380, 40, 0];
     let homes = weigh(&weights);
     let mut parts = [0_usize; 4];
@@ -33,13 +33,13 @@
     assert_eq!(parts[3], 0, "{parts:?}");
     for (part, weight) in parts.into_iter().zip(weights) {
         let expected = ENDPOINTS * weight as usize / 800;
-        // Three standard deviations of a share drawn at random are 95 endpoints.
+        // Three standard deviations of a random share are 95 endpoints.
         assert!(part.abs_diff(expected) < 95, "{parts:?}");
     }
 }
 
 #[test]
-fn nobody_keeps_anything_without_weight() {
+fn homes_of_zero_weight_keep_nothing() {
     assert_eq!(rendezvous::weighted_keeper(&weigh(&[0, 0]), EndpointId(1)), None);
     assert_eq!(rendezvous::weighted_keeper(&[], EndpointId(1)), None);
 }
@@ -66,7 +66,7 @@
     }
 
     #[test]
-    fn equal_weights_are_like_none(count in 1..12usize, weight in 1..1_000u32) {
+    fn equal_weights_give_the_same_keeper_as_no_weights(count in 1..12usize, weight in 1..1_000u32) {
         let homes = weigh(&vec![weight; count]);
         let plain: Vec<_> = homes.iter().map(|(home, _)| *home).collect();
         for endpoint in endpoints().take(300) {
@@ -79,7 +79,7 @@
 fn weigh_by_processor(cores: &[u32]) -> Vec<u32> {
     let homes: Vec<_> =
         cores.iter().enumerate().map(|(n, cores)| (home(n as u64), Cores(*cores))).collect();
-    let weighed = keepers::weigh(&homes, Cores(120));
+    let weighed = keepers::weights(&homes, Cores(120));
     weighed.into_iter().map(|(_, weight)| weight.0).collect()
 }
 
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn where_large_entries_are_too_few_weights_follow_the_processor() {
+fn where_large_entries_are_too_few_weights_follow_the_whole_capacity() {
     let mut cores = vec![120; 20];
     cores.push(250);
     assert_eq!(weigh_by_processor(&cores), cores);
@@ -98,15 +98,15 @@
 }
 
 #[test]
-fn where_no_processor_is_known_weights_are_equal() {
+fn where_no_capacity_is_known_weights_are_equal() {
     assert_eq!(weigh_by_processor(&[0, 0, 0]), [1, 1, 1]);
 }
 
 #[test]
-fn each_data_centre_is_weighed_by_itself() {
+fn data_centres_are_weighted_independently() {
     let far = Home { data_centre: DataCentreId(2), ..home(9) };
     let homes = [(home(1), Cores(500)), (home(2), Cores(120)), (far, Cores(120))];
     let weights: Vec<_> =
-        keepers::weigh(&homes, Cores(120)).into_iter().map(|(_, weight)| weight.0).collect();
+        keepers::weights(&homes, Cores(120)).into_iter().map(|(_, weight)| weight.0).collect();
     assert_eq!(weights, [380, 0, 120]);
 }
--- a/components/placement/benches/decision.rs
+++ b/components/placement/benches/decision.rs
@@ -1,9 +1,9 @@
-//! Time of one decision, at today's size and at full size: pop a task, choose its endpoint, release
-//! it, finish the task. Each step is timed over a batch; the total is their sum. Queueing the next
-//! tasks and picking the ones that end is not part of a decision and not timed.
+//! Measures the time of one decision at the present and at full size: pop a task, choose its
+//! endpoint, release it, finish the task. Each step is timed over a batch; the total is their sum.
+//! Queueing the next tasks and picking the ones that end is not part of a decision and not timed.
 
 use fairness::{JobKey, Key, Queue};
-use placement::{Endpoint, Pool, Spread};
+use placement::{Endpoint, Pool, RackCounts};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use site::{
@@ -12,30 +12,30 @@
 };
 use std::time::Instant;
 
-/// Decisions of one sample.
+/// Number of decisions in one sample.
 const BATCH: usize = 64;
-/// Samples of one case.
+/// Number of samples of one case.
 const SAMPLES: usize = 10_000;
-/// Samples of one size before those of the other: the machine's speed changes, and both sizes are
-/// to meet the same.
+/// Number of samples of one size before those of the other. Sizes alternate because the speed of
+/// the machine varies over time, and both sizes must be measured under the same conditions.
 const BLOCK: usize = 200;
-/// Endpoints and firms, today and at full size.
+/// Numbers of endpoints and firms, at the present and at full size.
 const SIZES: [(u64, u64); 2] = [(50, 5), (5_700, 630)];
-/// Queued tasks of a job.
+/// Number of queued tasks of a job.
 const TASKS: usize = 20;
-/// Jobs queued for each firm.
+/// Number of jobs queued for each firm.
 const JOBS: usize = 20;
-/// Share of the capacity that is kept in use.
+/// Share of the capacity that is in use.
 const LOAD: f64 = 0.8;
 /// Expected run time of each task.
 const COST: Span = Span::from_millis(300);
 /// The steps of a decision that are timed.
 const STEPS: [&str; 5] = ["pop", "choose", "release", "finish", "total"];
 
-/// Nanoseconds of each step.
+/// Duration of each step in nanoseconds.
 type Sample = [f64; STEPS.len()];
 
-/// What the endpoints of a case are.
+/// The kind of endpoints of a case.
 #[derive(Clone, Copy, Debug)]
 enum Shape {
     Executors,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What a load is measured in: slots or cores.
+    /// Returns the amount in the unit of the load: slots or cores.
     fn size(self, resources: &Resources) -> f64 {
         match self {
             Shape::Executors => f64::from(resources.slots.0),
@@ -76,13 +76,13 @@
     }
 }
 
-/// A queue, a pool and the tasks that run.
+/// A queue, a pool and the running tasks.
 struct Case {
     shape: Shape,
     queue: Queue<usize>,
     pool: Pool,
     running: Vec<(Key, EndpointId, Resources)>,
-    spread: Spread,
+    spread: RackCounts,
 }
 
 impl Case {
@@ -102,7 +102,7 @@
             queue.push(key(firm, task / TASKS), COST, task);
         }
         let running = Vec::new();
-        let mut case = Self { shape, queue, pool, running, spread: Spread::default() };
+        let mut case = Self { shape, queue, pool, running, spread: RackCounts::default() };
         case.fill(endpoints);
         case
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Pops a task, queues its like again, and places it.
+    /// Pops a task, queues a copy of it, and places it.
     fn start(&mut self, number: usize) -> bool {
         let Some((key, item)) = self.queue.pop() else { return false };
         self.queue.push(key, COST, item);
@@ -130,7 +130,7 @@
         true
     }
 
-    /// Ends a batch of tasks and starts another. Returns the time of each step.
+    /// Ends a batch of tasks and starts another. Returns the duration of each step.
     fn sample(&mut self, random: &mut ChaCha8Rng) -> Sample {
         let ended: Vec<_> = (0..BATCH)
             .map(|_| {
@@ -166,7 +166,7 @@
     }
 }
 
-/// The middle of the samples, step by step, and the total's 99th percentile.
+/// Returns the medians of the samples for each step, and the 99th percentile of the total.
 fn summary(samples: &[Sample]) -> (Sample, f64) {
     let sorted = |step: usize| {
         let mut times: Vec<_> = samples.iter().map(|sample| sample[step]).collect();
@@ -177,7 +177,7 @@
     (medians, sorted(STEPS.len() - 1)[samples.len() * 99 / 100])
 }
 
-/// Nanoseconds that one call in a batch takes.
+/// Returns the nanoseconds per call of a batch of calls.
 fn timed(calls: impl FnOnce()) -> f64 {
     let begin = Instant::now();
     calls();
--- a/components/placement/src/endpoint.rs
+++ b/components/placement/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as an entry sees them.
+//! Endpoints as an entry sees them, and the distribution of a job over racks.
 
 use rustc_hash::FxHashMap;
 use site::{
@@ -6,33 +6,33 @@
     unit::Resources,
 };
 
-/// What an entry may use of an endpoint: its own share or a borrowed one.
+/// The part of an endpoint's capacity that an entry may use: its own share or a borrowed one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Endpoint {
-    /// The endpoint.
+    /// Identifies the endpoint.
     pub id: EndpointId,
-    /// Where it is mounted. Executors may share one rack.
+    /// The rack that it is mounted in. Executors may share one rack.
     pub rack: RackId,
-    /// Whether it stands in another data centre than the entry.
+    /// Whether it is in another data centre than the entry.
     pub remote: bool,
-    /// What the entry may use of it. An endpoint without cores and memory is an executor.
+    /// Capacity that the entry may use. An endpoint without cores and memory is an executor.
     pub capacity: Resources,
 }
 
-/// How many of a job's running tasks each rack holds.
+/// Number of a job's running tasks on each rack.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
-    /// Racks with at least one task.
+pub struct RackCounts {
+    /// Counts of the racks with at least one task.
     racks: FxHashMap<RackId, u32>,
 }
 
-impl Spread {
+impl RackCounts {
     /// Counts a task that was placed on `rack`.
     pub fn add(&mut self, rack: RackId) {
         *self.racks.entry(rack).or_default() += 1;
     }
 
-    /// Forgets a task that was placed on `rack`.
+    /// Uncounts a task that was placed on `rack`.
     pub fn remove(&mut self, rack: RackId) {
         let Some(count) = self.racks.get_mut(&rack) else { return };
         *count -= 1;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Number of tasks on `rack`.
+    /// Returns the number of tasks on `rack`.
     pub fn count(&self, rack: RackId) -> u32 {
         self.racks.get(&rack).copied().unwrap_or(0)
     }
--- a/components/placement/src/histogram.rs
+++ b/components/placement/src/histogram.rs
@@ -1,14 +1,14 @@
-//! A histogram on a logarithmic scale that forgets old values.
+//! A histogram with logarithmic bins whose old values decay.
 
-/// Bins: 20 octaves of twelve.
+/// Number of bins: 20 octaves of twelve.
 const BINS: usize = 240;
-/// Bins of one octave.
-const STEPS: f32 = 12.0;
+/// Number of bins per octave.
+const BINS_PER_OCTAVE: f32 = 12.0;
 /// Number of values at which all counts are halved.
-const FULL: u32 = 1024;
+const HALVING_TOTAL: u32 = 1024;
 
-/// Counts of positive values from `2^first` on, in steps of a twelfth of an octave. Values out of range
-/// are counted in the first or last bin.
+/// Counts of positive values from `2^first` upwards, in bins of a twelfth of an octave. Values out
+/// of range are counted in the first or last bin.
 #[derive(Clone, Debug)]
 pub(crate) struct Histogram {
     first: f32,
@@ -27,11 +27,11 @@
     }
 
     pub(crate) fn add(&mut self, value: f32) {
-        let bin = (value.log2() - self.first) * STEPS;
+        let bin = (value.log2() - self.first) * BINS_PER_OCTAVE;
         let bin = (bin.max(0.0) as usize).min(BINS - 1);
         self.bins[bin] += 1;
         self.total += 1;
-        if self.total >= FULL {
+        if self.total >= HALVING_TOTAL {
             self.halve();
         }
     }
@@ -41,12 +41,13 @@
         self.total = self.bins.iter().map(|&count| u32::from(count)).sum();
     }
 
-    /// The upper edge of the bin that holds the `share` quantile. The histogram is not empty.
+    /// Returns the upper edge of the bin with the `share` quantile. The histogram must not be
+    /// empty.
     pub(crate) fn quantile(&self, share: f32) -> f32 {
         self.edge(self.bin_of(share) + 1)
     }
 
-    /// The mean, each value taken at the middle of its bin. The histogram is not empty.
+    /// Returns the mean, with each value at the middle of its bin. The histogram must not be empty.
     pub(crate) fn mean(&self) -> f32 {
         let sum: f32 = self
             .bins
@@ -58,24 +59,24 @@
         sum / self.total.max(1) as f32
     }
 
-    /// Number of bins between the tenth and the ninetieth percentile.
+    /// Returns the number of bins between the 10th and the 90th percentile.
     pub(crate) fn width(&self) -> usize {
         self.bin_of(0.9) - self.bin_of(0.1)
     }
 
     fn bin_of(&self, share: f32) -> usize {
         let rank = (share * self.total as f32).ceil().max(1.0) as u32;
-        let mut below = 0;
+        let mut cumulative = 0;
         self.bins
             .iter()
             .position(|&count| {
-                below += u32::from(count);
-                below >= rank
+                cumulative += u32::from(count);
+                cumulative >= rank
             })
             .unwrap_or(BINS - 1)
     }
 
     fn edge(&self, bin: usize) -> f32 {
-        (self.first + bin as f32 / STEPS).exp2()
+        (self.first + bin as f32 / BINS_PER_OCTAVE).exp2()
     }
 }
--- a/components/placement/src/lib.rs
+++ b/components/placement/src/lib.rs
@@ -1,15 +1,15 @@
-//! Placement: which endpoint runs a task, and what a task is expected to need.
+//! Placement: chooses the endpoint that runs a task, and estimates the resources that a task needs.
 //!
-//! Nothing here reads a clock; random choices follow a seed.
+//! Nothing here reads a clock; random choices are derived from a seed.
 
 mod endpoint;
 mod estimate;
+mod grid;
 mod histogram;
 mod member;
 mod pool;
-mod shelf;
 mod track;
 
-pub use endpoint::{Endpoint, Spread};
-pub use estimate::{Estimate, Kind};
+pub use endpoint::{Endpoint, RackCounts};
+pub use estimate::{Estimator, TaskKind};
 pub use pool::Pool;
--- a/components/placement/src/member.rs
+++ b/components/placement/src/member.rs
@@ -1,16 +1,16 @@
-//! One endpoint of a pool with its use, and the shelf where it belongs.
+//! One endpoint of a pool with its usage, and its location in the index.
 
-use crate::{endpoint::Endpoint, shelf::Cell};
+use crate::{endpoint::Endpoint, grid::Cell};
 use site::unit::{Resources, Slots};
 
-/// Slowness from which an endpoint falls into the next class: times the normal run time.
+/// Slowdown factors from which an endpoint belongs to the next speed class.
 const SPEED_LIMITS: [f32; 3] = [1.5, 3.0, 6.0];
-/// Kinds of endpoint that lie on shelves of their own.
+/// Number of kinds of endpoint that have grids of their own.
 const KINDS: u8 = 3;
-/// Number of shelves.
+/// Number of grids, one for each class.
 pub(crate) const CLASSES: usize = (SPEED_LIMITS.len() + 1) * 2 * KINDS as usize;
 
-/// What kind of endpoint a shelf holds.
+/// The kind of endpoint that a grid contains.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Kind {
     Executor,
@@ -19,31 +19,31 @@
     Accelerated,
 }
 
-/// A place in the index.
+/// A location in the index: a grid and a cell of it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub(crate) class: u8,
     pub(crate) cell: Cell,
 }
 
-/// An endpoint with its use.
+/// An endpoint with its usage.
 pub(crate) struct Member {
     pub(crate) endpoint: Endpoint,
-    /// What placed tasks occupy. May exceed the capacity after that shrank.
+    /// Resources of placed tasks. May exceed the capacity after the capacity shrank.
     pub(crate) in_use: Resources,
-    /// Whether the endpoint belongs to the pool. One that was removed is kept while in use.
+    /// Whether the endpoint belongs to the pool. A removed endpoint is kept while in use.
     pub(crate) present: bool,
     pub(crate) open: bool,
-    /// Index of the first speed limit above its slowness.
+    /// Speed class: index of the first speed limit above its slowdown factor.
     pub(crate) speed: u8,
-    /// Its place in the index. `None` while it takes no work.
-    pub(crate) place: Option<Place>,
-    /// Free slots that are included in the pool's total.
+    /// Its location in the index; `None` while it takes no work.
+    pub(crate) location: Option<Location>,
+    /// Number of free slots that are included in the pool's total.
     pub(crate) counted: Slots,
 }
 
 impl Member {
-    /// An endpoint that is not yet part of the pool.
+    /// Creates a member for an endpoint that is not yet part of the pool.
     pub(crate) fn new(endpoint: Endpoint) -> Self {
         Self {
             endpoint,
@@ -51,12 +51,12 @@
             present: false,
             open: true,
             speed: 0,
-            place: None,
+            location: None,
             counted: Slots(0),
         }
     }
 
-    /// What is free; nothing at all while any resource is used beyond the capacity.
+    /// Returns the free resources; none while any resource is used beyond the capacity.
     pub(crate) fn free(&self) -> Resources {
         if self.endpoint.capacity.fits(&self.in_use) {
             self.endpoint.capacity.minus(&self.in_use)
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(crate) fn usable(&self) -> bool {
+    pub(crate) fn is_usable(&self) -> bool {
         self.present && self.open && self.endpoint.capacity.fits(&self.in_use)
     }
 
@@ -74,9 +74,9 @@
         capacity.cores.0 == 0 && capacity.memory.0 == 0
     }
 
-    /// Where it belongs, if it takes work.
-    pub(crate) fn target(&self) -> Option<Place> {
-        if !self.usable() {
+    /// Returns its location in the index for its current state; `None` if it takes no work.
+    pub(crate) fn target_location(&self) -> Option<Location> {
+        if !self.is_usable() {
             return None;
         }
         let capacity = &self.endpoint.capacity;
@@ -91,12 +91,12 @@
         } else {
             (Kind::Worker, Cell::worker(&free))
         };
-        Some(Place { class: class(self.speed, self.endpoint.remote, kind), cell })
+        Some(Location { class: class(self.speed, self.endpoint.remote, kind), cell })
     }
 }
 
-/// Number of a shelf: fast before slow, then near before far, then without accelerators before
-/// with. An endpoint of a lower class is preferred.
+/// Returns the class of an endpoint, which is the number of its grid. Lower classes are preferred:
+/// fast before slow, then local before remote, then without accelerators before with.
 pub(crate) fn class(speed: u8, remote: bool, kind: Kind) -> u8 {
     (speed * 2 + u8::from(remote)) * KINDS + kind as u8
 }
@@ -113,7 +113,7 @@
     class / KINDS % 2 == 1
 }
 
-/// The speed class of an endpoint that takes `factor` times as long as normal.
-pub(crate) fn speed_of(factor: f32) -> u8 {
+/// Returns the speed class of an endpoint that takes `factor` times as long as normal.
+pub(crate) fn speed_class(factor: f32) -> u8 {
     SPEED_LIMITS.iter().filter(|&&limit| factor >= limit).count() as u8
 }
--- a/components/placement/src/pool.rs
+++ b/components/placement/src/pool.rs
@@ -1,9 +1,9 @@
-//! The endpoints of one service pool, as one entry may use them.
+//! The endpoints of one service pool, and the choice of an endpoint for a task.
 
 use crate::{
-    endpoint::{Endpoint, Spread},
-    member::{CLASSES, Kind, Member, Place, is_remote, kind_of, speed_of},
-    shelf::{Bits, Cell, Shelf},
+    endpoint::{Endpoint, RackCounts},
+    grid::{Bits, Cell, Grid},
+    member::{CLASSES, Kind, Location, Member, is_remote, kind_of, speed_class},
 };
 use rand::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,30 +14,31 @@
 };
 use slab::Slab;
 
-/// Endpoints of one bag that a choice looks at.
-const PROBES: usize = 16;
-/// Endpoints on one shelf that a choice looks at in bags where they may lack room.
-const UNSURE_PROBES: usize = 32;
-/// Endpoints that a choice compares to spread a job over racks.
-const CANDIDATES: usize = 8;
+/// Maximum number of endpoints of one bucket that a choice examines.
+const MAX_BUCKET_PROBES: usize = 16;
+/// Maximum number of endpoints of one grid that a choice examines in buckets whose endpoints may
+/// not fit.
+const MAX_MISFIT_PROBES: usize = 32;
+/// Maximum number of fitting endpoints that a choice compares to spread a job over racks.
+const MAX_CANDIDATES: usize = 8;
 
 /// Endpoints of one service pool as one entry may use them.
 ///
-/// No endpoint is given more than its capacity. A choice looks at a bounded number of endpoints;
-/// where only few of many similar ones have room for an unusual need it may miss them, and a later
-/// choice looks at others.
+/// No endpoint is allocated beyond its capacity. A choice examines a bounded number of endpoints;
+/// if only a few of many similar ones fit an unusual need, it may miss them, and a later choice
+/// examines others.
 pub struct Pool {
     members: Slab<Member>,
     index: FxHashMap<EndpointId, usize>,
-    /// For each member, its position in its bag. Apart from the members, as most writes go to
-    /// members that are not otherwise touched.
+    /// For each member, its position in its bucket. Kept apart from the members, since most writes
+    /// are for members that are not otherwise accessed.
     positions: Vec<u32>,
-    shelves: [Shelf; CLASSES],
-    /// Bit n is set while shelf n holds endpoints.
+    grids: [Grid; CLASSES],
+    /// Bit n is set while grid n contains endpoints.
     occupied: u64,
     /// Number of present endpoints by capacity.
     capacities: FxHashMap<Resources, usize>,
-    /// Endpoints that are present and open.
+    /// Number of endpoints that are present and open.
     open: usize,
     /// Sum of the members' `counted`.
     free_slots: Slots,
@@ -45,13 +46,13 @@
 }
 
 impl Pool {
-    /// An empty pool. Equal seeds and calls give equal choices.
+    /// Creates an empty pool. Equal seeds and calls give equal choices.
     pub fn new(seed: u64) -> Self {
         Self {
             members: Slab::new(),
             index: FxHashMap::default(),
             positions: Vec::new(),
-            shelves: Default::default(),
+            grids: Default::default(),
             occupied: 0,
             capacities: FxHashMap::default(),
             open: 0,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Adds an endpoint, open and at normal speed, or replaces what is known of it. What is in use
-    /// stays in use, also beyond a smaller capacity.
+    /// Adds an endpoint, open and at normal speed, or updates its data. Its usage is kept, even if
+    /// it exceeds a smaller new capacity.
     pub fn insert(&mut self, endpoint: Endpoint) {
         let index = match self.index.get(&endpoint.id) {
             Some(&index) => index,
@@ -80,7 +81,7 @@
         self.reindex(index);
     }
 
-    /// Removes an endpoint. What it has in use is kept until it is released.
+    /// Removes an endpoint. Its usage is tracked until it is released.
     pub fn remove(&mut self, id: EndpointId) {
         let Some(&index) = self.index.get(&id) else { return };
         self.uncount(index);
@@ -102,48 +103,51 @@
     }
 
     /// Sets how much slower than normal an endpoint is: 1 is normal, 5 takes five times as long.
-    /// Slow endpoints are used when no fast one has room.
-    pub fn set_speed(&mut self, id: EndpointId, factor: f32) {
+    /// Slow endpoints are used when the faster ones are full.
+    pub fn set_slowdown(&mut self, id: EndpointId, factor: f32) {
         let Some(&index) = self.index.get(&id) else { return };
-        self.members[index].speed = speed_of(factor);
+        self.members[index].speed = speed_class(factor);
         self.reindex(index);
     }
 
-    /// Chooses an endpoint with room for `need` and takes it.
+    /// Chooses an endpoint that fits `need` and allocates it there.
     ///
-    /// Fast endpoints go before slow ones, then near before far. Among executors the least used
-    /// by share is taken; among workers one of the fullest that have room, so that room for large
-    /// tasks remains, and of these one whose rack has few tasks of the job, if `spread` is given.
-    /// Endpoints in `avoid` are used only when no other endpoint is open.
+    /// Fast endpoints are preferred to slow ones, then local to remote ones. Among executors it
+    /// chooses one with the smallest share of slots in use; among workers one of the fullest that
+    /// fit, so that large tasks still find capacity, and of these one whose rack has few tasks of
+    /// the job, if `rack_counts` is given. Endpoints in `avoid` are used only when no other
+    /// endpoint is open.
     pub fn choose(
         &mut self,
         need: &Resources,
         avoid: &[EndpointId],
-        spread: Option<&Spread>,
+        rack_counts: Option<&RackCounts>,
     ) -> Option<EndpointId> {
-        let avoid = if self.only_avoided(avoid) { &[] } else { avoid };
+        let avoid = if self.are_all_open_avoided(avoid) { &[] } else { avoid };
         let random = self.random.next_u32() as usize;
         let index = Bits(self.occupied).find_map(|class| match kind_of(class) {
             Kind::Executor => self.least_used(class, need, avoid, random),
             Kind::Worker if need.accelerators.0 > 0 => None,
-            Kind::Worker | Kind::Accelerated => self.best_fit(class, need, avoid, spread, random),
+            Kind::Worker | Kind::Accelerated => {
+                self.best_fit(class, need, avoid, rack_counts, random)
+            }
         })?;
         self.occupy(index, need);
         Some(self.members[index].endpoint.id)
     }
 
-    /// Takes `need` of an endpoint, if it is open and has room.
+    /// Allocates `need` at an endpoint if it is open and fits. Returns whether it did.
     pub fn take(&mut self, id: EndpointId, need: &Resources) -> bool {
         let Some(&index) = self.index.get(&id) else { return false };
         let member = &self.members[index];
-        let room = member.usable() && member.free().fits(need);
-        if room {
+        let fits = member.is_usable() && member.free().fits(need);
+        if fits {
             self.occupy(index, need);
         }
-        room
+        fits
     }
 
-    /// Gives back what [`choose`](Self::choose) or [`take`](Self::take) took.
+    /// Frees what [`choose`](Self::choose) or [`take`](Self::take) allocated.
     pub fn release(&mut self, id: EndpointId, need: &Resources) {
         let Some(&index) = self.index.get(&id) else { return };
         let member = &mut self.members[index];
@@ -152,40 +156,41 @@
         self.forget_unused(index);
     }
 
-    /// What is free at an endpoint, open or not. Nothing if it is unknown or removed.
+    /// Returns what is free at an endpoint, open or not. Nothing if it is unknown or removed.
     pub fn free(&self, id: EndpointId) -> Resources {
         self.member(id).filter(|member| member.present).map(Member::free).unwrap_or_default()
     }
 
-    /// What is in use at an endpoint.
+    /// Returns what is in use at an endpoint.
     pub fn in_use(&self, id: EndpointId) -> Resources {
         self.member(id).map(|member| member.in_use).unwrap_or_default()
     }
 
-    /// The rack of an endpoint.
+    /// Returns the rack of an endpoint; `None` if it is unknown.
     pub fn rack(&self, id: EndpointId) -> Option<RackId> {
         self.member(id).map(|member| member.endpoint.rack)
     }
 
-    /// Free slots of all open endpoints.
+    /// Returns the number of free slots of all open endpoints.
     pub fn total_free(&self) -> Slots {
         self.free_slots
     }
 
-    /// Whether an endpoint of the pool, open or not, could run `need` when idle. Takes time in
-    /// proportion to the number of different capacities.
+    /// Returns whether any endpoint of the pool, open or not, fits `need` when idle. Takes time
+    /// proportional to the number of distinct capacities.
     pub fn could_ever_fit(&self, need: &Resources) -> bool {
         self.capacities.keys().any(|capacity| capacity.fits(need))
     }
 
-    /// Open endpoints that may have something free, best first, with what they have free.
+    /// Iterates over the open endpoints that may have free capacity, best first, with their free
+    /// resources.
     pub fn free_endpoints(
         &self,
         local_only: bool,
     ) -> impl Iterator<Item = (EndpointId, Resources)> {
         Bits(self.occupied)
             .filter(move |&class| !(local_only && is_remote(class)))
-            .flat_map(|class| self.shelves[usize::from(class)].iter())
+            .flat_map(|class| self.grids[usize::from(class)].iter())
             .map(|index| &self.members[index as usize])
             .map(|member| (member.endpoint.id, member.free()))
     }
@@ -203,7 +208,7 @@
         index
     }
 
-    /// Takes a present endpoint out of the counts by capacity and of open ones.
+    /// Removes a present endpoint from the counts by capacity and of open endpoints.
     fn uncount(&mut self, index: usize) {
         let member = &self.members[index];
         if !member.present {
@@ -233,44 +238,44 @@
         self.reindex(index);
     }
 
-    /// Moves a member to where it belongs by its state.
+    /// Moves a member to the location in the index that matches its state.
     fn reindex(&mut self, index: usize) {
         let member = &mut self.members[index];
         let counted = if member.present && member.open { member.free().slots } else { Slots(0) };
         self.free_slots = self.free_slots + counted - member.counted;
         member.counted = counted;
-        let target = member.target();
-        let old = std::mem::replace(&mut member.place, target);
+        let target = member.target_location();
+        let old = std::mem::replace(&mut member.location, target);
         if old == target {
             return;
         }
         if let Some(old) = old {
-            self.unshelve(index, old);
+            self.remove_from(index, old);
         }
         if let Some(target) = target {
-            self.shelve(index, target);
+            self.insert_at(index, target);
         }
     }
 
-    fn shelve(&mut self, index: usize, place: Place) {
-        let class = usize::from(place.class);
-        self.positions[index] = self.shelves[class].insert(place.cell, index as u32);
+    fn insert_at(&mut self, index: usize, location: Location) {
+        let class = usize::from(location.class);
+        self.positions[index] = self.grids[class].insert(location.cell, index as u32);
         self.occupied |= 1 << class;
     }
 
-    fn unshelve(&mut self, index: usize, place: Place) {
-        let class = usize::from(place.class);
+    fn remove_from(&mut self, index: usize, location: Location) {
+        let class = usize::from(location.class);
         let position = self.positions[index];
-        if let Some(moved) = self.shelves[class].remove(place.cell, position) {
+        if let Some(moved) = self.grids[class].remove(location.cell, position) {
             self.positions[moved as usize] = position;
         }
-        if self.shelves[class].is_empty() {
+        if self.grids[class].is_empty() {
             self.occupied &= !(1 << class);
         }
     }
 
-    /// Whether every open endpoint is in `avoid`.
-    fn only_avoided(&self, avoid: &[EndpointId]) -> bool {
+    /// Returns whether every open endpoint is in `avoid`.
+    fn are_all_open_avoided(&self, avoid: &[EndpointId]) -> bool {
         if self.open > avoid.len() {
             return false;
         }
@@ -282,14 +287,15 @@
         open.len() == self.open
     }
 
-    /// Members of a bag in turn from a random one, at most as many as a choice looks at.
-    fn probe(bag: &[u32], random: usize, avoided: usize) -> impl Iterator<Item = usize> {
-        let start = random % bag.len();
-        let count = bag.len().min(PROBES + avoided);
-        (0..count).map(move |step| bag[(start + step) % bag.len()] as usize)
+    /// Iterates over the members of a bucket from a random one on, up to the number that a choice
+    /// examines.
+    fn probe(bucket: &[u32], random: usize, avoided: usize) -> impl Iterator<Item = usize> {
+        let start = random % bucket.len();
+        let count = bucket.len().min(MAX_BUCKET_PROBES + avoided);
+        (0..count).map(move |step| bucket[(start + step) % bucket.len()] as usize)
     }
 
-    fn suits(&self, index: usize, need: &Resources, avoid: &[EndpointId]) -> bool {
+    fn fits_and_allowed(&self, index: usize, need: &Resources, avoid: &[EndpointId]) -> bool {
         let member = &self.members[index];
         member.free().fits(need) && !avoid.contains(&member.endpoint.id)
     }
@@ -301,12 +307,11 @@
         avoid: &[EndpointId],
         random: usize,
     ) -> Option<usize> {
-        let shelf = &self.shelves[usize::from(class)];
-        shelf
-            .cells(Cell::executor(0, 1))
-            .flat_map(|cell| Self::probe(shelf.bag(cell), random, avoid.len()))
-            .take(UNSURE_PROBES + avoid.len())
-            .find(|&index| self.suits(index, need, avoid))
+        let grid = &self.grids[usize::from(class)];
+        grid.cells(Cell::executor(0, 1))
+            .flat_map(|cell| Self::probe(grid.bucket(cell), random, avoid.len()))
+            .take(MAX_MISFIT_PROBES + avoid.len())
+            .find(|&index| self.fits_and_allowed(index, need, avoid))
     }
 
     fn best_fit(
@@ -314,30 +319,30 @@
         class: u8,
         need: &Resources,
         avoid: &[EndpointId],
-        spread: Option<&Spread>,
+        rack_counts: Option<&RackCounts>,
         random: usize,
     ) -> Option<usize> {
         let least = Cell::worker(need);
-        let shelf = &self.shelves[usize::from(class)];
-        let mut unsure = UNSURE_PROBES;
+        let grid = &self.grids[usize::from(class)];
+        let mut misfit_probes = MAX_MISFIT_PROBES;
         let mut seen = 0;
         let mut best: Option<(u32, usize)> = None;
-        'cells: for cell in shelf.cells(least) {
-            if cell.beside(least) && unsure == 0 {
+        'cells: for cell in grid.cells(least) {
+            if cell.shares_row_or_column(least) && misfit_probes == 0 {
                 continue;
             }
-            for index in Self::probe(shelf.bag(cell), random, avoid.len()) {
-                if !self.suits(index, need, avoid) {
-                    unsure = unsure.saturating_sub(1);
+            for index in Self::probe(grid.bucket(cell), random, avoid.len()) {
+                if !self.fits_and_allowed(index, need, avoid) {
+                    misfit_probes = misfit_probes.saturating_sub(1);
                     continue;
                 }
                 let rack = self.members[index].endpoint.rack;
-                let count = spread.map_or(0, |spread| spread.count(rack));
+                let count = rack_counts.map_or(0, |rack_counts| rack_counts.count(rack));
                 if best.is_none_or(|(least, _)| count < least) {
                     best = Some((count, index));
                 }
                 seen += 1;
-                if count == 0 || seen == CANDIDATES {
+                if count == 0 || seen == MAX_CANDIDATES {
                     break 'cells;
                 }
             }
