--- a/components/placement/src/track.rs
+++ b/components/placement/src/track.rs
@@ -1,22 +1,23 @@
-//! Declared against measured, for one quantity of one kind of task.
+//! Predicts one quantity of one kind of task from declared and measured values.
 
 use crate::histogram::Histogram;
 
-/// Observations after which the declared value itself no longer counts.
-pub(crate) const ENOUGH: u32 = 4;
-/// Observations between two updates of the prediction, once there are many.
-const INTERVAL: u32 = 8;
-/// Observations up to which each updates the prediction.
-const FEW: u32 = 32;
-/// Octave where the histogram of ratios begins: a thousandth of what was declared.
-const RATIO_FIRST: f32 = -10.0;
+/// Number of observations from which the declared value itself is no longer used.
+pub(crate) const MIN_OBSERVATIONS: u32 = 4;
+/// Number of observations between updates of the prediction, above [`EAGER_OBSERVATIONS`].
+const UPDATE_INTERVAL: u32 = 8;
+/// Number of observations up to which each one updates the prediction.
+const EAGER_OBSERVATIONS: u32 = 32;
+/// Base-2 logarithm of the value where the histogram of ratios begins: a thousandth of what was
+/// declared.
+const RATIO_MIN_LOG2: f32 = -10.0;
 
-/// What a track predicts from its measurements.
+/// The statistic of its measurements that a track predicts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Statistic {
-    /// The mean, for sums.
+    /// The mean, for quantities that are added up.
     Mean,
-    /// A quantile, by its share.
+    /// The quantile with this share of the values below it.
     Quantile(f32),
 }
 
@@ -29,37 +30,37 @@
     }
 }
 
-/// Measurements of one quantity, alone and as ratio to what was declared.
+/// Measurements of one quantity, as absolute values and as ratios to the declared value.
 ///
-/// Predicts from whichever of the two varies less: the ratio where declared values are wrong by a
-/// steady factor, the measurements alone where declared values say nothing.
+/// Predicts from whichever of the two varies less: the ratios if declared values are off by a
+/// constant factor, the absolute values if declared values carry no information.
 #[derive(Clone, Debug)]
 pub(crate) struct Track {
     statistic: Statistic,
     measured: Histogram,
     ratio: Histogram,
-    /// Observations so far.
+    /// Number of observations.
     count: u32,
-    /// The statistic of `measured` when last updated.
+    /// The statistic of `measured` at the last update.
     value: f32,
-    /// The statistic of `ratio` when last updated, if it is to be used.
+    /// The statistic of `ratio` at the last update; `None` if the absolute values vary less.
     factor: Option<f32>,
 }
 
 impl Track {
-    /// A track for values from `2^first` on.
+    /// Creates a track for values from `2^first` upwards.
     pub(crate) fn new(first: f32, statistic: Statistic) -> Self {
         Self {
             statistic,
             measured: Histogram::new(first),
-            ratio: Histogram::new(RATIO_FIRST),
+            ratio: Histogram::new(RATIO_MIN_LOG2),
             count: 0,
             value: 0.0,
             factor: None,
         }
     }
 
-    /// Records a measurement. Zero means unknown, for both.
+    /// Records a measurement. Zero means unknown for either value.
     pub(crate) fn observe(&mut self, declared: u64, measured: u64) {
         if measured == 0 {
             return;
@@ -69,17 +70,18 @@
             self.ratio.add(measured as f32 / declared as f32);
         }
         self.count = self.count.saturating_add(1);
-        if self.count <= FEW || self.count.is_multiple_of(INTERVAL) {
+        if self.count <= EAGER_OBSERVATIONS || self.count.is_multiple_of(UPDATE_INTERVAL) {
             self.update();
         }
     }
 
-    /// Number of measurements.
+    /// Returns the number of measurements.
     pub(crate) fn count(&self) -> u32 {
         self.count
     }
 
-    /// The expected value for a task that declares `declared`; `None` before any measurement.
+    /// Returns the expected value for a task that declares `declared`; `None` before any
+    /// measurement.
     pub(crate) fn predict(&self, declared: u64) -> Option<u64> {
         if self.count == 0 {
             return None;
@@ -93,7 +95,7 @@
 
     fn update(&mut self) {
         self.value = self.statistic.of(&self.measured);
-        let steady = self.ratio.total() > 0 && self.ratio.width() <= self.measured.width();
-        self.factor = steady.then(|| self.statistic.of(&self.ratio));
+        let use_ratio = self.ratio.total() > 0 && self.ratio.width() <= self.measured.width();
+        self.factor = use_ratio.then(|| self.statistic.of(&self.ratio));
     }
 }
--- a/components/placement/tests/pool.rs
+++ b/components/placement/tests/pool.rs
@@ -1,6 +1,6 @@
-//! No endpoint is given more than it has, and which one is preferred.
+//! No endpoint is allocated beyond its capacity, and choices follow the documented preferences.
 
-use placement::{Endpoint, Pool, Spread};
+use placement::{Endpoint, Pool, RackCounts};
 use proptest::prelude::*;
 use site::{
     id::{EndpointId, RackId},
@@ -60,10 +60,10 @@
     ]
 }
 
-/// What the pool is expected to hold, kept without an index.
+/// Expected state of the pool, kept without an index.
 #[derive(Default)]
 struct Model {
-    /// Capacity and whether it is open, of present endpoints.
+    /// Capacity of each present endpoint, and whether it is open.
     present: BTreeMap<u64, (Resources, bool)>,
     placed: Vec<(u64, Resources)>,
 }
@@ -101,7 +101,7 @@
                     pool.set_open(EndpointId(id), open);
                     model.present.entry(id).and_modify(|entry| entry.1 = open);
                 }
-                Step::Speed(id, factor) => pool.set_speed(EndpointId(id), factor),
+                Step::Speed(id, factor) => pool.set_slowdown(EndpointId(id), factor),
                 Step::Choose(need, avoid) => match pool.choose(&need, &[EndpointId(avoid)], None) {
                     Some(EndpointId(id)) => {
                         prop_assert!(model.has_room(id, &need));
@@ -109,7 +109,7 @@
                         prop_assert!(id != avoid || only);
                         model.placed.push((id, need));
                     }
-                    // With so few endpoints a choice sees all of them.
+                    // With this few endpoints a choice examines all of them.
                     None => prop_assert!(
                         model.present.keys().all(|id| *id == avoid || !model.has_room(*id, &need))
                     ),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn executors_are_used_evenly_by_share() {
+fn executors_are_used_in_equal_shares() {
     let mut pool = pool_of([endpoint(0, slots(8)), endpoint(1, slots(4)), endpoint(2, slots(8))]);
     for _ in 0..10 {
         assert!(pool.choose(&Resources::SLOT, &[], None).is_some());
@@ -146,10 +146,10 @@
 }
 
 #[test]
-fn fast_goes_before_near_and_near_before_far() {
+fn fast_endpoints_are_preferred_then_local_ones() {
     let mut pool = pool_of((0..3).map(|id| endpoint(id, slots(1))));
     pool.insert(Endpoint { remote: true, ..endpoint(1, slots(1)) });
-    pool.set_speed(EndpointId(2), 5.0);
+    pool.set_slowdown(EndpointId(2), 5.0);
     let order: Vec<_> =
         std::iter::from_fn(|| pool.choose(&Resources::SLOT, &[], None)).map(|id| id.0).collect();
     assert_eq!(order, [0, 1, 2]);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn small_tasks_leave_room_for_large_ones() {
+fn small_tasks_are_packed_so_that_large_ones_fit() {
     let mut pool = pool_of((0..8).map(|id| endpoint(id, worker(64, 256, 0))));
     for _ in 0..200 {
         assert!(pool.choose(&worker(1, 2, 0), &[], None).is_some());
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn accelerators_are_left_to_those_who_need_them() {
+fn accelerators_are_used_only_by_tasks_that_need_them() {
     let mut pool = pool_of([endpoint(0, worker(16, 32, 1)), endpoint(1, worker(16, 32, 0))]);
     for _ in 0..16 {
         assert_eq!(pool.choose(&worker(1, 1, 0), &[], None), Some(EndpointId(1)));
@@ -184,9 +184,9 @@
 #[test]
 fn a_job_is_spread_over_racks() {
     let mut pool = pool_of((0..32).map(|id| endpoint(id, worker(64, 256, 0))));
-    let mut spread = Spread::default();
+    let mut spread = RackCounts::default();
     for _ in 0..16 {
-        let id = pool.choose(&worker(4, 8, 0), &[], Some(&spread)).expect("there is room");
+        let id = pool.choose(&worker(4, 8, 0), &[], Some(&spread)).expect("the pool has capacity");
         spread.add(pool.rack(id).expect("it was inserted"));
     }
     let counts: Vec<_> = (0..4).map(|rack| spread.count(RackId(rack))).collect();
--- a/components/runner/src/engine.rs
+++ b/components/runner/src/engine.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, OnceLock};
 
 // The logic asks for calls this often.
-const _: () = assert!(timer::TICK.as_micros() <= TICK.0 as u128);
+const _: () = assert!(timer::TICK_INTERVAL.as_micros() <= TICK.0 as u128);
 
 /// Executors that are remembered beyond those listed, since runs may still be there.
 const REMEMBERED: usize = 64;
@@ -166,7 +166,7 @@
     /// Calls the logic at each tick, for good.
     pub async fn run_timer(self: Arc<Self>) {
         loop {
-            timer::tick().await;
+            timer::next_tick().await;
             self.feed(Event::Tick);
         }
     }
--- a/components/runner/src/journal.rs
+++ b/components/runner/src/journal.rs
@@ -65,7 +65,7 @@
         if !self.admit(now, decision) {
             return;
         }
-        self.log.json(&Line { time_ms: unix_ms(), node: &self.node, decision });
+        self.log.write_json(&Line { time_ms: unix_ms(), node: &self.node, decision });
     }
 
     /// Lines that were dropped since the start.
@@ -78,7 +78,7 @@
         if now.since(budget.since) >= SECOND {
             let lines = std::mem::take(&mut budget.left_out);
             if lines > 0 {
-                self.log.json(&LeftOut {
+                self.log.write_json(&LeftOut {
                     time_ms: unix_ms(),
                     node: &self.node,
                     decision: "left-out",
--- a/components/runs/src/keeper/handover.rs
+++ b/components/runs/src/keeper/handover.rs
@@ -73,7 +73,7 @@
                 seen: None,
                 stop: None,
             };
-            self.health.may_use(now, yielded.executor);
+            self.health.try_acquire(now, yielded.executor);
             moved.push(Moved { task: entry.task, run: entry.run.number });
             lease.insert(entry.run, live);
         }
--- a/components/runs/src/keeper/mod.rs
+++ b/components/runs/src/keeper/mod.rs
@@ -108,7 +108,7 @@
     fn learn_need(&mut self, needs: &Resources) {
         let old = self.typical;
         if old.cores.0 == 0 && old.memory.0 == 0 {
-            self.typical = needs.with_slot();
+            self.typical = needs.with_one_slot();
             return;
         }
         let weight = u64::from(TYPICAL_WEIGHT);
--- a/components/runs/src/keeper/room.rs
+++ b/components/runs/src/keeper/room.rs
@@ -41,13 +41,13 @@
     /// Tasks of usual size that run at one time on the executors in use, under cordon or not.
     pub(crate) fn capacity(&self) -> u32 {
         let ready = self.leases.values().filter(|lease| lease.phase == Phase::Ready);
-        ready.map(|lease| lease.executor.capacity.count(&self.typical)).sum()
+        ready.map(|lease| lease.executor.capacity.max_tasks(&self.typical)).sum()
     }
 
     /// The work that waits here, and how fast the executors in use get through it.
     pub(crate) fn load(&self, now: Time) -> Load {
         let size = u64::from(self.typical.cores.0);
-        let fitting = |resources: Resources| u64::from(resources.count(&self.typical)) * size;
+        let fitting = |resources: Resources| u64::from(resources.max_tasks(&self.typical)) * size;
         let usable = self.leases.values().filter(|lease| self.may_use(now, lease));
         let (free, capacity) = usable.fold((0, 0), |(free, capacity), lease| {
             (free + fitting(lease.free()), capacity + fitting(lease.executor.capacity))
--- a/components/runs/src/keeper/start.rs
+++ b/components/runs/src/keeper/start.rs
@@ -79,7 +79,7 @@
         let Some(lease) = self.leases.get_mut(&id) else { return };
         let clock_age = lease.clock.map_or(Span::ZERO, |clock| clock.age(now));
         let Some(deadline) = lease.extend(now, span) else { return };
-        self.health.may_use(now, id);
+        self.health.try_acquire(now, id);
         let live = Live {
             task: Some(queued.task),
             needs: queued.needs,
--- a/components/runs/src/keeper/stop.rs
+++ b/components/runs/src/keeper/stop.rs
@@ -125,7 +125,7 @@
             (End::Failed, _) => Observation::Failed,
             _ if live.stop == Some(StopCause::Overdue) => Observation::TimedOut,
             (_, Ending::LeaseOver) => Observation::Lost,
-            _ => return self.health.withdraw(id),
+            _ => return self.health.release(id),
         };
         let cause = live.task.map(|task| Cause(task.job.number ^ task.job.home.incarnation.0));
         let attempt = Attempt { started: Some(live.sent), cause };
--- a/components/runs/src/view/mod.rs
+++ b/components/runs/src/view/mod.rs
@@ -94,7 +94,7 @@
         self.revision = self.revision.max(revision);
         self.joined |= members.contains(&self.me);
         if members != self.listed {
-            self.partners = mesh::weighted_partners(self.me, &self.weigh(&members));
+            self.partners = mesh::weighted_peers(self.me, &self.weigh(&members));
             self.listed = members;
         }
         self.refresh()
@@ -294,7 +294,7 @@
     fn weigh(&self, homes: &[Home]) -> Vec<(Home, Weight)> {
         let cores = |home: &Home| self.processors.get(&home.entry).copied().unwrap_or_default();
         let homes: Vec<_> = homes.iter().map(|home| (*home, cores(home))).collect();
-        keepers::weigh(&homes, self.reserve)
+        keepers::weights(&homes, self.reserve)
     }
 }
 
--- a/components/settings/src/check/bound.rs
+++ b/components/settings/src/check/bound.rs
@@ -1,40 +1,40 @@
-//! Bounds on names, number and size of files.
+//! Checks the names, number and sizes of files.
 
 use crate::{
     limit::{MAX_FILE_BYTES, MAX_FILES, MAX_FOLDER_BYTES, MAX_NAME_BYTES},
-    place::Path,
+    location::Path,
     range,
     report::{Findings, Reason},
     source::{Files, Origin},
 };
 
-/// No file: the folder as a whole.
+/// Origin of findings about the folder as a whole.
 const FOLDER: Origin = Origin { file: usize::MAX, offset: 0 };
 
-/// Whether the folder is small enough to be read.
+/// Returns whether the folder is within the limits, so that it can be parsed.
 pub(super) fn check(files: &Files, findings: &mut Findings) -> bool {
-    let mut small = true;
-    let mut refuse = |origin, reason| {
+    let mut within_limits = true;
+    let mut reject = |origin, reason| {
         findings.error(origin, Path::default(), reason);
-        small = false;
+        within_limits = false;
     };
     if files.len() > MAX_FILES {
-        refuse(FOLDER, Reason::ManyFiles { files: files.len() });
+        reject(FOLDER, Reason::ManyFiles { files: files.len() });
     }
     let bytes = files.values().map(|text| text.len()).sum();
     if bytes > MAX_FOLDER_BYTES {
-        refuse(FOLDER, Reason::LargeFolder { bytes });
+        reject(FOLDER, Reason::LargeFolder { bytes });
     }
     for (file, (name, text)) in files.iter().enumerate() {
         let origin = Origin { file, offset: 0 };
         if text.len() > MAX_FILE_BYTES {
-            refuse(origin, Reason::LargeFile { bytes: text.len() });
+            reject(origin, Reason::LargeFile { bytes: text.len() });
         }
         if !is_file_name(name) {
-            refuse(origin, Reason::FileName);
+            reject(origin, Reason::FileName);
         }
     }
-    small
+    within_limits
 }
 
 fn is_file_name(name: &str) -> bool {
--- a/components/settings/src/check/capacity.rs
+++ b/components/settings/src/check/capacity.rs
@@ -1,4 +1,4 @@
-//! Warnings about settings that can be used but hardly do what was meant.
+//! Warnings about settings that are valid but probably not intended.
 
 use super::draft::Draft;
 use crate::{
@@ -21,7 +21,7 @@
     links(draft, findings);
 }
 
-/// Slots of the executors of each service; none for services that have no executor.
+/// Returns the slots of the executors of each service. Services without an executor are left out.
 fn slots<'a>(draft: &'a Draft<'_>) -> BTreeMap<&'a CompactString, Slots> {
     let mut slots = BTreeMap::new();
     for executor in draft.executors.values() {
--- a/components/settings/src/check/draft.rs
+++ b/components/settings/src/check/draft.rs
@@ -1,8 +1,8 @@
-//! Typed objects of the merged settings before they are known to fit together.
+//! Typed objects of the merged settings before their references are checked.
 
 use crate::{
     de::{object, typed},
-    place::Path,
+    location::Path,
     report::Findings,
     section::Section,
     source::Origin,
@@ -19,7 +19,7 @@
 /// Objects by name.
 pub(super) type Named<T> = BTreeMap<CompactString, T>;
 
-/// Objects without a fault of their own, and the values they were read from.
+/// Objects that deserialize without an error, and the values they were read from.
 pub(super) struct Draft<'a> {
     root: &'a Members,
     pub(super) policy: Policy,
@@ -34,9 +34,9 @@
 }
 
 impl<'a> Draft<'a> {
-    /// Reads every object. Missing fields are faults when the settings are `whole`.
-    pub(super) fn read(root: &'a Members, whole: bool, findings: &mut Findings) -> Self {
-        let mut reader = Reader { root, whole, findings };
+    /// Deserializes every object. Missing fields are errors if the settings are `complete`.
+    pub(super) fn read(root: &'a Members, complete: bool, findings: &mut Findings) -> Self {
+        let mut reader = Reader { root, complete, findings };
         Draft {
             root,
             policy: reader.policy(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Names in `section`, also of objects with faults.
+    /// Returns the names in `section`, including those of objects with errors.
     pub(super) fn names(
         &self,
         section: Section,
@@ -59,25 +59,26 @@
         members(self.root, section).into_iter().flat_map(BTreeMap::keys)
     }
 
-    /// Whether `section` holds `name`, with faults or without.
+    /// Returns whether `section` contains `name`, with or without errors.
     pub(super) fn has(&self, section: Section, name: &str) -> bool {
         members(self.root, section).is_some_and(|members| members.contains_key(name))
     }
 
-    /// The key of an object.
+    /// Returns the position of an object's key, and its path.
     pub(super) fn object(&self, section: Section, name: &str) -> (Origin, Path) {
         let path = Path::of([section.key(), name]);
         (self.node(&path).map_or(Origin::default(), |node| node.key), path)
     }
 
-    /// A field of an object, or the object's key where the field has its default.
+    /// Returns the position of an object's field, or of the object's key if the field is absent,
+    /// and the field's path.
     pub(super) fn field(&self, section: Section, name: &str, fields: &[&str]) -> (Origin, Path) {
         let (object, path) = self.object(section, name);
         let path = fields.iter().fold(path, |path, field| path.join(field));
         (self.node(&path).map_or(object, |node| node.at), path)
     }
 
-    /// Keys of the elements of a list, whether written as a list or as an object.
+    /// Returns the keys of the elements of a list, whether given as a list or as an object.
     pub(super) fn labels(&self, section: Section, name: &str, field: &str) -> Vec<CompactString> {
         let path = Path::of([section.key(), name, field]);
         match self.node(&path).map(|node| &node.value) {
@@ -92,7 +93,7 @@
         self.root.get(section)?.get(rest)
     }
 
-    /// The site; only for drafts without findings.
+    /// Converts the draft to a site. The site is valid only if there are no errors.
     pub(super) fn into_site(self) -> Site {
         let mut links: Vec<_> = self.links.into_values().collect();
         links.sort_by_cached_key(ends);
@@ -112,7 +113,7 @@
     }
 }
 
-/// The ends of a link in the order of their names.
+/// Returns the ends of a link in the order of their names.
 pub(super) fn ends(link: &Link) -> [CompactString; 2] {
     let mut ends = link.between.clone();
     ends.sort();
@@ -146,7 +147,7 @@
 
 struct Reader<'a, 'f> {
     root: &'a Members,
-    whole: bool,
+    complete: bool,
     findings: &'f mut Findings,
 }
 
@@ -171,7 +172,7 @@
         node: &Node,
     ) -> Option<T> {
         let path = Path::of([section.key(), name]);
-        if self.whole {
+        if self.complete {
             return object(node, &path, section.required(), self.findings);
         }
         let mut found = Findings::default();
--- a/components/settings/src/check/mod.rs
+++ b/components/settings/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of the merged settings as a whole.
+//! Merges the files and checks the merged settings as a whole.
 
 mod bound;
 mod capacity;
@@ -18,12 +18,12 @@
 use draft::Draft;
 use site::Site;
 
-/// Settings that may be used.
+/// Settings without errors.
 #[derive(Clone, Debug)]
 pub struct Checked {
-    /// What they say.
+    /// The site that they describe.
     pub site: Site,
-    /// What may be a mistake.
+    /// Findings that may be mistakes but don't prevent use.
     pub warnings: Report,
 }
 
@@ -31,20 +31,21 @@
 ///
 /// # Errors
 ///
-/// Everything that is wrong with them; then nothing of them may be used.
+/// A report of every error. None of the settings may be used then.
 pub fn parse(files: &Files) -> Result<Checked, Report> {
     let sources = Sources::new(files);
     let mut findings = Findings::default();
     let site = site(files, &sources, &mut findings);
-    let refused = findings.has_errors();
+    let has_errors = findings.has_errors();
     let report = findings.report(&sources);
     match site {
-        Some(site) if !refused => Ok(Checked { site, warnings: report }),
+        Some(site) if !has_errors => Ok(Checked { site, warnings: report }),
         _ => Err(report),
     }
 }
 
-/// The merged settings, as far as they can be read. For comparing, not for use.
+/// Returns the merged settings of the files that can be parsed. For comparison only, since errors
+/// are ignored.
 pub(crate) fn merge(files: &Files) -> tree::Members {
     let mut ignored = Findings::default();
     match bound::check(files, &mut ignored) {
@@ -57,15 +58,15 @@
     if !bound::check(files, findings) {
         return None;
     }
-    let (merged, whole) = merged(sources, findings);
-    // What is missing here may stand in a file that could not be read.
-    if !whole {
+    let (merged, complete) = merged(sources, findings);
+    // Missing members may be in a file that could not be parsed.
+    if !complete {
         findings.drop_absences();
     }
-    let draft = Draft::read(&merged.root, whole, findings);
+    let draft = Draft::read(&merged.root, complete, findings);
     value::check(&draft, findings);
     unique::check(&draft, findings);
-    if whole {
+    if complete {
         reference::check(&draft, findings);
     }
     if !findings.has_errors() {
@@ -74,18 +75,18 @@
     Some(draft.into_site())
 }
 
-/// The merged settings, and whether every file could be read.
+/// Returns the merged settings, and whether every file could be parsed and merged.
 fn merged(sources: &Sources, findings: &mut Findings) -> (Merged, bool) {
     let mut merged = Merged::default();
-    let mut whole = true;
+    let mut complete = true;
     for (start, _, text) in sources.iter() {
         let Some(tree) = tree::read(text, start, findings) else {
-            whole = false;
+            complete = false;
             continue;
         };
         if !merged.add(tree, findings) {
             return (merged, false);
         }
     }
-    (merged, whole)
+    (merged, complete)
 }
--- a/components/settings/src/check/reference.rs
+++ b/components/settings/src/check/reference.rs
@@ -1,4 +1,4 @@
-//! Checks that every name refers to an object.
+//! Checks that every reference names an existing object.
 
 use super::draft::Draft;
 use crate::{
@@ -8,8 +8,8 @@
 use compact_str::CompactString;
 use site::service::Place;
 
-/// Names that a finding suggests at most.
-const SUGGESTED: usize = 5;
+/// Maximum number of names that a finding suggests.
+const MAX_SUGGESTIONS: usize = 5;
 
 pub(super) fn check(draft: &Draft<'_>, findings: &mut Findings) {
     let mut checker = Checker { draft, findings };
@@ -40,7 +40,7 @@
             let data_centre = &executor.data_centre;
             self.resolve(section, name, &["data-centre"], Section::DataCentres, data_centre);
             self.resolve(section, name, &["service"], Section::Services, &executor.service);
-            self.runs_on_executors(name, &executor.service);
+            self.require_executor_service(name, &executor.service);
         }
     }
 
@@ -71,13 +71,13 @@
         if self.draft.has(target, name) {
             return;
         }
-        let known = self.draft.names(target).take(SUGGESTED).cloned().collect();
+        let known = self.draft.names(target).take(MAX_SUGGESTIONS).cloned().collect();
         let reason = Reason::Reference { section: target, name: name.clone(), known };
         let (origin, path) = self.draft.field(section, object, field);
         self.findings.error(origin, path, reason);
     }
 
-    fn runs_on_executors(&mut self, executor: &str, name: &CompactString) {
+    fn require_executor_service(&mut self, executor: &str, name: &CompactString) {
         let service = self.draft.services.get(name);
         if service.is_some_and(|service| service.place == Place::Workers) {
             let (origin, path) = self.draft.field(Section::Executors, executor, &["service"]);
--- a/components/settings/src/check/unique.rs
+++ b/components/settings/src/check/unique.rs
@@ -1,8 +1,8 @@
-//! Checks that names, addresses, keys and pairs occur once.
+//! Checks that names, identifiers, addresses, keys and pairs are unique.
 
 use super::draft::{Draft, ends};
 use crate::{
-    place::Path,
+    location::Path,
     report::{Findings, Reason},
     section::Section,
     source::Origin,
@@ -16,7 +16,7 @@
 
 const KEY_DIGESTS: &str = "key-digests";
 
-/// Sections whose objects are known by an identifier.
+/// Sections whose objects have identifiers derived from their names.
 const IDENTIFIED: [Section; 6] = [
     Section::DataCentres,
     Section::Services,
@@ -26,7 +26,7 @@
     Section::Operators,
 ];
 
-/// Pairs of different names with one identifier, the later name first.
+/// Returns the pairs of different names with the same identifier, the later name first.
 pub fn collisions<'a>(
     names: impl IntoIterator<Item = &'a str>,
     id: impl Fn(&str) -> u64,
@@ -60,7 +60,7 @@
         let workers = self.draft.workers.iter().map(|(n, w)| (Section::Workers, n, w.address));
         let mut owners = BTreeMap::<SocketAddr, _>::new();
         for (section, name, address) in executors.chain(workers) {
-            self.own(&mut owners, address, (section, name), |draft, owner| {
+            self.require_unique(&mut owners, address, (section, name), |draft, owner| {
                 let (section_of_owner, name_of_owner) = *owner;
                 let other = draft.object(section_of_owner, name_of_owner).1;
                 (draft.field(section, name, &["address"]), Reason::Address { other })
@@ -107,17 +107,17 @@
     }
 
     fn racks(&mut self) {
-        let mut homes = BTreeMap::new();
+        let mut data_centres = BTreeMap::new();
         let racks = self.draft.workers.values().map(|worker| worker.rack.as_str());
         let collisions: BTreeMap<_, _> = collisions(racks, identifier).into_iter().collect();
         for (name, worker) in &self.draft.workers {
             if let Some(other) = collisions.get(worker.rack.as_str()) {
                 self.rack(name, Reason::Collision { other: (*other).into() });
             }
-            let home = *homes.entry(&worker.rack).or_insert(&worker.data_centre);
-            if *home != worker.data_centre {
+            let data_centre = *data_centres.entry(&worker.rack).or_insert(&worker.data_centre);
+            if *data_centre != worker.data_centre {
                 let rack = worker.rack.clone();
-                self.rack(name, Reason::Rack { rack, other: home.clone() });
+                self.rack(name, Reason::Rack { rack, other: data_centre.clone() });
             }
         }
     }
@@ -136,7 +136,7 @@
                 self.findings.error(origin, path, Reason::Loop { end: a });
                 continue;
             }
-            self.own(&mut owners, [a, b], name, |draft, owner| {
+            self.require_unique(&mut owners, [a, b], name, |draft, owner| {
                 let other = draft.object(Section::Links, owner).1;
                 (draft.field(Section::Links, name, &["between"]), Reason::LinkTwin { other })
             });
@@ -147,7 +147,7 @@
         let mut owners = BTreeMap::new();
         for (name, contract) in &self.draft.contracts {
             let pair = (&contract.firm, &contract.service);
-            self.own(&mut owners, pair, name, |draft, owner| {
+            self.require_unique(&mut owners, pair, name, |draft, owner| {
                 let other = draft.object(Section::Contracts, owner).1;
                 (draft.object(Section::Contracts, name), Reason::ContractTwin { other })
             });
@@ -163,24 +163,30 @@
             let labels = self.draft.labels(section, name, KEY_DIGESTS);
             for (label, digest) in labels.iter().zip(digests) {
                 let owner = (section, name, label.clone());
-                self.own(&mut owners, digest, owner, |draft, (section_of_owner, owner, key)| {
-                    let other = draft.field(*section_of_owner, owner, &[KEY_DIGESTS, key]).1;
-                    let place = draft.field(section, name, &[KEY_DIGESTS, label]);
-                    (place, Reason::SharedKey { other })
-                });
+                self.require_unique(
+                    &mut owners,
+                    digest,
+                    owner,
+                    |draft, (section_of_owner, owner, key)| {
+                        let other = draft.field(*section_of_owner, owner, &[KEY_DIGESTS, key]).1;
+                        let place = draft.field(section, name, &[KEY_DIGESTS, label]);
+                        (place, Reason::SharedKey { other })
+                    },
+                );
             }
         }
     }
 
-    /// Notes that `owner` has `thing`, or reports what `finding` says of the one that has it.
-    fn own<T: Ord, O>(
+    /// Records `owner` as the owner of `value`, or adds the result of `finding` if it has another
+    /// owner.
+    fn require_unique<T: Ord, O>(
         &mut self,
         owners: &mut BTreeMap<T, O>,
-        thing: T,
+        value: T,
         owner: O,
         finding: impl FnOnce(&Draft<'_>, &O) -> ((Origin, Path), Reason),
     ) {
-        match owners.entry(thing) {
+        match owners.entry(value) {
             Entry::Vacant(free) => drop(free.insert(owner)),
             Entry::Occupied(other) => {
                 let ((origin, path), reason) = finding(self.draft, other.get());
@@ -190,7 +196,7 @@
     }
 }
 
-/// All identifiers of names are made alike; see [`site::id`].
+/// Returns the identifier of a name. All kinds of identifiers use the same hash; see [`site::id`].
 fn identifier(name: &str) -> u64 {
     EndpointId::of(name).0
 }
--- a/components/settings/src/check/value.rs
+++ b/components/settings/src/check/value.rs
@@ -1,4 +1,4 @@
-//! Checks of single values that their types do not make.
+//! Checks of single values that their types don't enforce.
 
 use super::draft::Draft;
 use crate::{
--- a/components/settings/src/daemon.rs
+++ b/components/settings/src/daemon.rs
@@ -1,10 +1,10 @@
-//! Settings of one daemon, in a JSON file of its own.
+//! Settings of one entry daemon, in a JSON file of its own.
 
 use crate::{
     de::object,
     folder::read_file,
     limit::MAX_FILE_BYTES,
-    place::Path,
+    location::Path,
     report::{Findings, Reason, Report},
     source::Sources,
     tree,
@@ -23,35 +23,36 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Daemon {
-    /// Unique among the entries of the site.
+    /// Name of the entry, unique in the site.
     pub name: CompactString,
-    /// Where the entry stands; a data centre of the site.
+    /// Name of the data centre that the entry is in.
     pub data_centre: CompactString,
-    /// The rack the VM is mounted in.
+    /// Name of the rack that hosts the VM; empty if unknown.
     #[serde(default)]
     pub rack: CompactString,
-    /// Where it accepts HTTP/1.1 from callers and operators.
+    /// Address where it accepts HTTP/1.1 from callers and operators.
     pub http: SocketAddr,
-    /// Where it accepts QUIC from other entries.
+    /// Address where it accepts QUIC from other entries.
     pub quic: SocketAddr,
-    /// Addresses of the platform's key-value service, tried in turn; at least one.
+    /// Addresses of the platform's key-value service, tried in order; at least one.
     pub platform: Vec<SocketAddr>,
-    /// QUIC addresses, by name, of entries to meet while the platform's service is out.
+    /// QUIC addresses, by name, of entries to connect to while the platform's service is
+    /// unavailable.
     #[serde(default)]
     pub seeds: BTreeMap<CompactString, SocketAddr>,
-    /// Folder of settings to start with; newer ones from the platform or other entries replace
-    /// them. For starts while the platform's service is out.
+    /// Folder of settings to start with, for starts while the platform's service is unavailable.
+    /// Newer settings from the platform or other entries replace them.
     #[serde(default)]
     pub settings: Option<PathBuf>,
-    /// Keys for the traffic between entries.
+    /// TLS key and certificates for the traffic between entries.
     pub tls: Tls,
-    /// Bounds on what the process holds.
+    /// Limits on requests and connections.
     #[serde(default)]
     pub limits: Limits,
-    /// Log lines.
+    /// Level and format of log lines.
     #[serde(default)]
     pub log: Log,
-    /// Threads and shards.
+    /// Numbers of threads and shards.
     #[serde(default)]
     pub threads: Threads,
 }
@@ -68,17 +69,17 @@
     pub authority: PathBuf,
 }
 
-/// Bounds on what a daemon holds.
+/// Limits on the requests and connections of a daemon.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Limits {
-    /// Largest body of a caller's request; services may allow less.
+    /// Maximum size of the body of a caller's request; services may allow less.
     pub body: Memory,
-    /// Callers that may wait for answers at one time.
+    /// Maximum number of callers that wait for answers at one time.
     pub waiters: u32,
-    /// Open connections from callers.
+    /// Maximum number of open connections from callers.
     pub connections: u32,
-    /// How long a planned stop waits for requests in progress.
+    /// Maximum time that a planned stop waits for requests in progress.
     pub drain: Span,
 }
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// Least severe log lines that are written.
+/// Minimum severity of the log lines that are written.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[display(rename_all = "kebab-case")]
@@ -107,38 +108,38 @@
     Info,
     /// Messages between processes.
     Debug,
-    /// Everything.
+    /// All lines.
     Trace,
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
     /// Plain text.
     Text,
 }
 
-/// Log lines.
+/// Level and format of log lines.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Log {
-    /// Least severe lines that are written.
+    /// Minimum severity of the lines that are written.
     pub level: Level,
-    /// How.
+    /// Format of the lines.
     pub format: Format,
 }
 
-/// Threads and shards.
+/// Numbers of threads and shards.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Threads {
-    /// Threads of the executor that serves sockets.
+    /// Number of threads of the async runtime that serves sockets.
     pub workers: NonZeroUsize,
-    /// Shards of the state, each under its own lock.
+    /// Number of shards of the state, each under its own lock.
     pub shards: NonZeroUsize,
 }
 
@@ -154,23 +155,23 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the file.
+    /// A report of every error in the file.
     pub fn load(path: &std::path::Path) -> Result<Daemon, Report> {
         let name = CompactString::from(path.to_string_lossy());
         match read_file(path) {
             Ok(text) => Daemon::parse(name, text.into()),
-            Err(reason) => Err(refusal(name, reason)),
+            Err(reason) => Err(report_of(name, reason)),
         }
     }
 
-    /// Checks the settings in `text`, which reports call `name`.
+    /// Parses and checks the settings in `text`, which the report calls `name`.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the text.
+    /// A report of every error in the text.
     pub fn parse(name: CompactString, text: Bytes) -> Result<Daemon, Report> {
         if text.len() > MAX_FILE_BYTES {
-            return Err(refusal(name, Reason::LargeFile { bytes: text.len() }));
+            return Err(report_of(name, Reason::LargeFile { bytes: text.len() }));
         }
         let mut sources = Sources::default();
         let mut findings = Findings::default();
@@ -206,7 +207,7 @@
     require(daemon.limits.connections != 0, &["limits", "connections"], Reason::Zero);
 }
 
-fn refusal(name: CompactString, reason: Reason) -> Report {
+fn report_of(name: CompactString, reason: Reason) -> Report {
     let mut sources = Sources::default();
     let mut findings = Findings::default();
     let origin = sources.push(name, Bytes::new());
--- a/components/settings/src/de.rs
+++ b/components/settings/src/de.rs
@@ -1,12 +1,12 @@
-//! Turns JSON values with positions into typed ones.
+//! Deserializes typed values from JSON values with positions.
 //!
-//! Two rules beyond plain JSON. Where a type holds a list, an object may stand: its members are the
-//! elements, in the order of their keys. Where a type has a field `name`, the key of the object
-//! fills it.
+//! Two rules go beyond plain JSON. An object may be given for a list: its members are the elements,
+//! in the order of their keys. If a type has a field `name`, it is filled from the key of the
+//! object.
 
 use crate::{
     fault::{Fault, NAME},
-    place::Path,
+    location::Path,
     report::{Findings, Reason},
     tree::{Members, Node, Value},
 };
@@ -19,7 +19,7 @@
 use serde_json::Number;
 use std::{collections::btree_map, slice};
 
-/// Reads a `T` whose fields without a default are `required`. Every fault becomes a finding.
+/// Deserializes a `T` whose fields without a default are `required`. Every error becomes a finding.
 pub(crate) fn object<T: DeserializeOwned>(
     node: &Node,
     path: &Path,
@@ -37,7 +37,8 @@
     object
 }
 
-/// Reads a `T` from `node`, the member of the settings at `path`. Every fault becomes a finding.
+/// Deserializes a `T` from `node`, the member of the settings at `path`. Every error becomes a
+/// finding.
 pub(crate) fn typed<T: DeserializeOwned>(
     node: &Node,
     path: &Path,
@@ -52,7 +53,7 @@
     let mut removed = Vec::new();
     loop {
         let at = fault.path();
-        if !follows(&fault, &removed) {
+        if !is_consequence(&fault, &removed) {
             let origin = fault.at.unwrap_or(node.key);
             findings.error(origin, path.extend(&at), fault.reason);
         }
@@ -64,8 +65,8 @@
     }
 }
 
-/// Whether a field is only missing because a fault in it was found before.
-fn follows(fault: &Fault, removed: &[Path]) -> bool {
+/// Returns whether a field is missing only because it was removed after an error in it.
+fn is_consequence(fault: &Fault, removed: &[Path]) -> bool {
     match &fault.reason {
         Reason::MissingField { field } => {
             let field = fault.path().join(field);
@@ -75,7 +76,7 @@
     }
 }
 
-/// A value and the key that leads to it.
+/// A value and its key.
 #[derive(Clone, Copy)]
 struct Typed<'a> {
     node: &'a Node,
@@ -195,16 +196,16 @@
     }
 }
 
-/// Members of an object, with its name in front where the type has one.
+/// Members of an object, preceded by its name if the type has a field for it.
 struct Object<'a> {
-    /// Until it has been given out.
+    /// The name until it is returned as the first member.
     name: Option<&'a str>,
     named: bool,
     members: btree_map::Iter<'a, CompactString, Node>,
     value: Option<Pending<'a>>,
 }
 
-/// What the next value is read from.
+/// The source of the next value.
 enum Pending<'a> {
     Name(&'a str),
     Member(&'a str, &'a Node),
@@ -261,7 +262,7 @@
     }
 }
 
-/// Members of an object that stands for a list.
+/// Members of an object that is given for a list.
 struct Labelled<'a> {
     members: btree_map::Iter<'a, CompactString, Node>,
 }
--- a/components/settings/src/diff.rs
+++ b/components/settings/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a change of settings changes.
+//! Computes the differences between two folders of settings.
 
 use crate::{
     check::merge,
@@ -10,16 +10,16 @@
 use derive_more::Display;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of a file or an object.
+/// How a file or an object changed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum Step {
-    /// It is new.
+pub enum ChangeKind {
+    /// It was added.
     #[display("added")]
     Added,
-    /// It has other content.
+    /// Its content differs.
     #[display("changed")]
     Changed,
-    /// It is gone.
+    /// It was removed.
     #[display("removed")]
     Removed,
 }
@@ -27,36 +27,36 @@
 /// A difference between two folders.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Change {
-    /// In a file.
+    /// A file was added, changed or removed.
     #[display("file {name}: {step}")]
     File {
-        /// Its name.
+        /// Name of the file.
         name: CompactString,
-        /// What became of it.
-        step: Step,
+        /// How it changed.
+        step: ChangeKind,
     },
-    /// An object of the merged settings is new or gone.
+    /// An object of the merged settings was added or removed.
     #[display("{section}.{name}: {step}")]
     Object {
-        /// Its section.
+        /// The section of the object.
         section: Section,
-        /// Its name.
+        /// Name of the object.
         name: CompactString,
-        /// What became of it.
-        step: Step,
+        /// Whether it was added or removed.
+        step: ChangeKind,
     },
     /// A field of an object has another value.
     #[display("{}.{field}: {} -> {}", object(*section, name), shown(before), shown(after))]
     Field {
         /// The section of the object.
         section: Section,
-        /// The object; empty for the policy.
+        /// Name of the object; empty for the policy.
         name: CompactString,
-        /// The field, with the keys that lead to it joined by `.`.
+        /// Path of the field, its keys joined by `.`.
         field: CompactString,
-        /// Its value before; its default when absent.
+        /// Value before the change; `None` if it had its default.
         before: Option<serde_json::Value>,
-        /// Its value now; its default when absent.
+        /// Value after the change; `None` if it has its default.
         after: Option<serde_json::Value>,
     },
 }
@@ -72,8 +72,8 @@
     value.as_ref().map_or_else(|| "default".into(), ToString::to_string)
 }
 
-/// The differences between `old` and `new`: files first, then the merged settings. Files that can't
-/// be read count as empty in the merged settings.
+/// Returns the differences between `old` and `new`: files first, then the merged settings. Files
+/// that can't be parsed count as empty in the merged settings.
 pub fn diff(old: &Files, new: &Files) -> Vec<Change> {
     let mut changes: Vec<_> = keys(old, new)
         .into_iter()
@@ -97,7 +97,7 @@
         let (before, after) = (old.get(name), new.get(name));
         match step(before, after, same) {
             None => (),
-            Some(Step::Changed) => fields(section, name, before, after, changes),
+            Some(ChangeKind::Changed) => fields(section, name, before, after, changes),
             Some(step) => changes.push(Change::Object { section, name: name.clone(), step }),
         }
     }
@@ -118,7 +118,7 @@
     }
 }
 
-/// Calls `found` for each value that differs and is no object on both sides.
+/// Calls `found` for each value that differs and is not an object on both sides.
 fn leaves(
     path: CompactString,
     old: Option<&Node>,
@@ -138,12 +138,12 @@
     }
 }
 
-fn step<T>(old: Option<T>, new: Option<T>, same: impl Fn(&T, &T) -> bool) -> Option<Step> {
+fn step<T>(old: Option<T>, new: Option<T>, same: impl Fn(&T, &T) -> bool) -> Option<ChangeKind> {
     match (old, new) {
         (None, None) => None,
-        (None, Some(_)) => Some(Step::Added),
-        (Some(_), None) => Some(Step::Removed),
-        (Some(old), Some(new)) => (!same(&old, &new)).then_some(Step::Changed),
+        (None, Some(_)) => Some(ChangeKind::Added),
+        (Some(_), None) => Some(ChangeKind::Removed),
+        (Some(old), Some(new)) => (!same(&old, &new)).then_some(ChangeKind::Changed),
     }
 }
 
--- a/components/settings/src/digest.rs
+++ b/components/settings/src/digest.rs
@@ -6,7 +6,7 @@
 
 const BYTES: usize = 32;
 
-/// A SHA-256 digest. Its text is 64 lower-case hexadecimal digits.
+/// A SHA-256 digest. Its text form is 64 lower-case hexadecimal digits.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Digest(pub [u8; BYTES]);
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// The text is no digest.
+/// Error for a text that is not a digest.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 #[display("expected {} lower-case hexadecimal digits", 2 * BYTES)]
 pub struct ParseError;
@@ -37,7 +37,7 @@
     }
 }
 
-/// The digest of `bytes`.
+/// Returns the SHA-256 digest of `bytes`.
 pub fn digest(bytes: &[u8]) -> Digest {
     Digest(Sha256::digest(bytes).into())
 }
--- a/components/settings/src/fault.rs
+++ b/components/settings/src/fault.rs
@@ -1,7 +1,7 @@
-//! Faults of values as the serialisation library finds them.
+//! Errors of single values during deserialization.
 
 use crate::{
-    place::Path,
+    location::Path,
     report::{Quantity, Reason},
     source::Origin,
 };
@@ -9,15 +9,15 @@
 use serde::de;
 use std::{fmt, net::SocketAddr};
 
-/// The field that the key of an object fills.
+/// The field that is filled from the key of an object.
 pub(crate) const NAME: &str = "name";
 
-/// Why a value could not be read.
+/// Error of deserializing a value.
 #[derive(Debug)]
 pub(crate) struct Fault {
     pub(crate) reason: Reason,
     pub(crate) at: Option<Origin>,
-    /// Innermost key first.
+    /// Keys of the path to the value, innermost first.
     keys: Vec<CompactString>,
 }
 
@@ -30,12 +30,12 @@
         Path(self.keys.iter().rev().cloned().collect())
     }
 
-    /// An object that says its own name, though its key does.
+    /// Returns the error for an object with a member `name`, although its key is its name.
     pub(crate) fn named(fields: &[&str]) -> Self {
         Fault::new(Reason::UnknownField { field: NAME.into(), expected: names(fields) }).nameless()
     }
 
-    /// This fault of an object whose name is not among its members.
+    /// Returns this error without `name` among the expected fields, for an object named by its key.
     pub(crate) fn nameless(mut self) -> Self {
         if let Reason::UnknownField { expected, .. } = &mut self.reason {
             expected.retain(|field| field != NAME);
@@ -43,7 +43,7 @@
         self
     }
 
-    /// This fault as seen from the object around.
+    /// Returns this error as seen from the enclosing object, in which the value has `key`.
     pub(crate) fn within(mut self, key: &str, origin: Origin) -> Self {
         self.at.get_or_insert(origin);
         self.keys.push(key.into());
@@ -61,7 +61,7 @@
 
 impl de::Error for Fault {
     fn custom<T: fmt::Display>(text: T) -> Self {
-        Fault::new(refusal(&text.to_string()))
+        Fault::new(reason_from_text(&text.to_string()))
     }
 
     fn invalid_type(found: de::Unexpected<'_>, expected: &dyn de::Expected) -> Self {
@@ -90,8 +90,8 @@
     names.iter().copied().map(CompactString::from).collect()
 }
 
-/// The library passes on the errors of the domain's texts as text alone; here they are known again.
-fn refusal(text: &str) -> Reason {
+/// Recognizes errors of domain types by their text, since serde passes them on only as text.
+fn reason_from_text(text: &str) -> Reason {
     let quantity = Quantity::ALL.into_iter().find(|quantity| quantity.has_error(text));
     match quantity {
         Some(quantity) => Reason::Quantity { quantity, detail: text.into() },
--- a/components/settings/src/folder.rs
+++ b/components/settings/src/folder.rs
@@ -1,9 +1,9 @@
-//! Reading a folder.
+//! Reads the files of a settings folder.
 
 use crate::{
     check::{Checked, parse},
     limit::{MAX_FILE_BYTES, MAX_FILES, MAX_FOLDER_BYTES},
-    place::Path,
+    location::Path,
     report::{Findings, Reason, Report},
     source::{Files, Sources},
 };
@@ -18,12 +18,12 @@
 
 const EXTENSION: &str = "json";
 
-/// A folder whose files have been read and checked.
+/// A settings folder that was read and checked.
 #[derive(Clone, Debug)]
 pub struct Folder {
-    /// The files as they are.
+    /// The files by name, unchanged.
     pub files: Files,
-    /// What they say.
+    /// The merged and checked settings.
     pub checked: Checked,
 }
 
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the folder; then nothing of it may be used.
+/// A report of every error in the folder. None of the settings may be used then.
 pub fn load(dir: &path::Path) -> Result<Folder, Report> {
     let files = read(dir)?;
     let checked = parse(&files)?;
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Every file that can't be read, and a folder that is too large to be read.
+/// A report of every file that can't be read, or of a folder that is too large.
 pub fn read(dir: &path::Path) -> Result<Files, Report> {
     let mut reader = Reader::default();
     match names(dir) {
@@ -71,7 +71,7 @@
     !hidden && path::Path::new(name).extension() == Some(OsStr::new(EXTENSION))
 }
 
-/// The file's content, or its first bytes when there are more than a file may have.
+/// Reads a file. Stops after one byte more than a file may have and returns an error then.
 pub(crate) fn read_file(path: &path::Path) -> Result<Vec<u8>, Reason> {
     let limit = MAX_FILE_BYTES as u64 + 1;
     let mut text = Vec::new();
--- a/components/settings/src/limit.rs
+++ b/components/settings/src/limit.rs
@@ -1,25 +1,25 @@
-//! Bounds on what one folder of settings may hold.
+//! Limits of a folder of settings.
 
-/// Most files in a folder.
+/// Maximum number of files in a folder.
 pub const MAX_FILES: usize = 10_000;
 
-/// Most bytes in a file: the largest value that the platform's service holds.
+/// Maximum size of a file in bytes: the largest value that the platform's key-value service stores.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// Most bytes in all files of a folder.
+/// Maximum total size of the files of a folder in bytes.
 pub const MAX_FOLDER_BYTES: usize = 16 << 20;
 
-/// Most bytes in a name or another text.
+/// Maximum size of a string in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
 
-/// Most bytes in the name of an object.
+/// Maximum size of the name of an object in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Most objects that one numbered name stands for.
+/// Maximum number of objects that one numbered name expands to.
 pub const MAX_RANGE: u32 = 10_000;
 
-/// Most values in all files together, once numbered names are written out.
+/// Maximum number of JSON values in all files together, after numbered names are expanded.
 pub const MAX_VALUES: usize = 300_000;
 
-/// Most findings in a report; further ones are only counted.
+/// Maximum number of findings in a report; further ones are only counted.
 pub const MAX_FINDINGS: usize = 200;
--- a/components/settings/src/place.rs
+++ b/components/settings/src/location.rs
@@ -1,24 +1,24 @@
-//! Where a finding is.
+//! Location of a finding: a path in the settings and a position in a file.
 
 use compact_str::CompactString;
 use std::fmt;
 
-/// Keys from the top of a JSON value down to a member. Empty for the whole value.
+/// Keys from the root of a JSON value to a member. Empty for the whole value.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Path(pub Vec<CompactString>);
 
 impl Path {
-    /// A path of the given keys.
+    /// Creates a path of the given keys.
     pub fn of<const N: usize>(keys: [&str; N]) -> Self {
         Self(keys.into_iter().map(CompactString::from).collect())
     }
 
-    /// This path and one key more.
+    /// Returns this path with `key` appended.
     pub fn join(&self, key: &str) -> Self {
         Self(self.0.iter().cloned().chain([key.into()]).collect())
     }
 
-    /// This path and then `rest`.
+    /// Returns this path with `rest` appended.
     pub fn extend(&self, rest: &Path) -> Self {
         Self(self.0.iter().chain(&rest.0).cloned().collect())
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// A path as it is walked: built without allocation, since few paths end in a report.
+/// A path during a traversal. Built without allocation, since few paths end up in a report.
 #[derive(Clone, Copy)]
 pub(crate) struct Trail<'a> {
     parent: Option<&'a Trail<'a>>,
@@ -38,10 +38,10 @@
 }
 
 impl<'a> Trail<'a> {
-    /// The start of a walk: the whole value.
+    /// The empty trail: the whole value.
     pub(crate) const ROOT: Trail<'static> = Trail { parent: None, key: "" };
 
-    /// This trail and one key more.
+    /// Returns this trail with `key` appended.
     pub(crate) fn join<'b>(&'b self, key: &'b str) -> Trail<'b>
     where
         'a: 'b,
@@ -57,20 +57,20 @@
     }
 }
 
-/// A position in a file of settings. Orders by file and line.
+/// A location in the settings. Ordered by file and line.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct Location {
     /// Name of the file; empty for the folder as a whole.
     pub file: CompactString,
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// In characters, from 1.
+    /// Column in characters, from 1.
     pub column: usize,
-    /// The member of the merged settings.
+    /// Path of the member in the merged settings.
     pub path: Path,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.file.is_empty() {
             true => f.write_str("folder")?,
--- a/components/settings/src/merge.rs
+++ b/components/settings/src/merge.rs
@@ -1,8 +1,8 @@
-//! Merging files as RFC 7396 (JSON Merge Patch) says, with numbered names written out.
+//! Merges files by RFC 7396 (JSON Merge Patch), and expands numbered names.
 
 use crate::{
     limit::MAX_VALUES,
-    place::{Path, Trail},
+    location::{Path, Trail},
     range::{self, Range},
     report::{Findings, Reason},
     section::Section,
@@ -21,7 +21,7 @@
 }
 
 impl Merged {
-    /// Adds one file's `tree`. False when the bound on values is passed.
+    /// Adds one file's `tree`. Returns false if the maximum number of values is exceeded.
     pub(crate) fn add(&mut self, tree: Node, findings: &mut Findings) -> bool {
         let Value::Object(sections) = tree.value else {
             let reason = expected_object(&tree.value);
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Writes numbered names out. None when there are too many values.
+    /// Expands numbered names. `None` if there are too many values.
     fn expand(
         &mut self,
         patches: &Members,
@@ -75,8 +75,8 @@
             let path = path.join(key);
             let range = match Range::parse(key) {
                 Ok(range) => range,
-                Err(fault) => {
-                    findings.error(patch.key, path.path(), Reason::Range { fault });
+                Err(error) => {
+                    findings.error(patch.key, path.path(), Reason::Range { error });
                     continue;
                 }
             };
@@ -100,7 +100,7 @@
     }
 }
 
-/// The objects that `key` stands for. Stops at the first that can't be written out.
+/// Returns the objects that `key` expands to. Stops at the first one that can't be expanded.
 fn objects(
     key: &CompactString,
     patch: &Node,
@@ -109,11 +109,11 @@
     findings: &mut Findings,
 ) -> Vec<(CompactString, Node)> {
     let Some(range) = range else { return vec![(key.clone(), patch.clone())] };
-    let filled = |(name, item)| range::fill(patch, item).map(|node| (name, node));
-    match range.items().map(filled).collect() {
+    let expanded = |(name, item)| range::expand(patch, item).map(|node| (name, node));
+    match range.items().map(expanded).collect() {
         Ok(objects) => objects,
-        Err((origin, fault)) => {
-            findings.error(origin, path.path(), Reason::Range { fault });
+        Err((origin, error)) => {
+            findings.error(origin, path.path(), Reason::Range { error });
             Vec::new()
         }
     }
@@ -137,7 +137,7 @@
     expanded.insert(name, object);
 }
 
-/// Puts `patch` in the place of member `key`: objects member by member, `null` removes.
+/// Applies `patch` to the member `key`: objects member by member; `null` removes the member.
 fn apply(
     members: &mut Members,
     key: CompactString,
@@ -146,7 +146,7 @@
     findings: &mut Findings,
 ) {
     match patch.value {
-        // Most objects are new: they are put in as they are.
+        // Most objects are new and are inserted unchanged.
         Value::Object(_) if !members.contains_key(&key) && !patch.has_null() => {
             members.insert(key, patch);
         }
--- a/components/settings/src/range.rs
+++ b/components/settings/src/range.rs
@@ -1,9 +1,9 @@
-//! Numbered names: one key that stands for many alike objects.
+//! Numbered names: one key that expands to many similar objects.
 //!
-//! A key such as `cut-{01..17}` stands for `cut-01` to `cut-17`. In the object behind it, texts
-//! may follow the number: `{n}` is the number as the name writes it, `{n/8}` counts up from 1 by
-//! one every 8 objects, and a `+` behind the port or behind the host of an address adds the
-//! position of the object, from 0.
+//! A key such as `cut-{01..17}` expands to `cut-01` to `cut-17`. Strings in its object may be
+//! templates: `{n}` is the number as in the name, `{n/8}` starts at 1 and increases by one every 8
+//! objects, and a `+` after the port or the host of an address adds the position of the object,
+//! from 0.
 
 use crate::{
     limit::{MAX_NAME_BYTES, MAX_RANGE, MAX_TEXT_BYTES},
@@ -17,10 +17,10 @@
     net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr},
 };
 
-/// Why a numbered name can't be written out.
+/// Error of expanding a numbered name.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
-pub enum Fault {
-    /// Not of the form `{first..last}`.
+pub enum RangeError {
+    /// The name is not of the form `{first..last}`.
     #[display("`{text}` is not a numbered name")]
     Form {
         /// The name.
@@ -35,42 +35,46 @@
         last: u32,
     },
     /// A `{...}` in a text is not understood.
-    #[display("`{text}` does not follow the number")]
+    #[display("`{text}` is not a valid template")]
     Template {
         /// The text.
         text: CompactString,
     },
-    /// An address can't be counted up that far.
-    #[display("address `{text}` can't be counted up by {by}")]
+    /// An address can't be increased that far.
+    #[display("address `{text}` can't be increased by {by}")]
     Address {
         /// The address.
         text: CompactString,
         /// The position of the object.
         by: u32,
     },
-    /// The text is too long once written out.
-    #[display("text of {bytes} bytes once written out")]
+    /// The string is too long after expansion.
+    #[display("string of {bytes} bytes after expansion")]
     Long {
-        /// Its size.
+        /// Size of the expanded string.
         bytes: usize,
     },
 }
 
-impl Fault {
+impl RangeError {
     pub(crate) fn fix(&self) -> String {
         match self {
-            Fault::Form { .. } => {
+            RangeError::Form { .. } => {
                 "write it like `cut-{01..17}`, both numbers of equal width".into()
             }
-            Fault::Length { .. } => format!("count upwards, at most {MAX_RANGE} objects"),
-            Fault::Template { .. } => "write `{n}`, or `{n/8}` for groups of 8".into(),
-            Fault::Address { .. } => "write it like `10.0.0.1:7001+` or `10.0.0.1+:7001`".into(),
-            Fault::Long { .. } => format!("shorten it to {MAX_TEXT_BYTES} bytes"),
+            RangeError::Length { .. } => {
+                format!("use an ascending range of at most {MAX_RANGE} objects")
+            }
+            RangeError::Template { .. } => "write `{n}`, or `{n/8}` for groups of 8".into(),
+            RangeError::Address { .. } => {
+                "write it like `10.0.0.1:7001+` or `10.0.0.1+:7001`".into()
+            }
+            RangeError::Long { .. } => format!("shorten it to {MAX_TEXT_BYTES} bytes"),
         }
     }
 }
 
-/// A name with a number.
+/// A name with a range of numbers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Range {
     before: CompactString,
@@ -85,15 +89,15 @@
 pub(crate) struct Item {
     number: u32,
     width: usize,
-    /// From 0.
+    /// Position in the range, from 0.
     position: u32,
 }
 
 impl Range {
-    /// The range in `key`, if there is one.
-    pub(crate) fn parse(key: &str) -> Result<Option<Range>, Fault> {
+    /// Returns the range in `key`; `None` if it has no braces.
+    pub(crate) fn parse(key: &str) -> Result<Option<Range>, RangeError> {
         let Some((before, rest)) = key.split_once('{') else { return Ok(None) };
-        let form = || Fault::Form { text: key.into() };
+        let form = || RangeError::Form { text: key.into() };
         let (numbers, after) = rest.split_once('}').ok_or_else(form)?;
         let (first, last) = numbers.split_once("..").ok_or_else(form)?;
         let (from, to) = number(first).zip(number(last)).ok_or_else(form)?;
@@ -101,13 +105,13 @@
             return Err(form());
         }
         if from > to || to - from >= MAX_RANGE {
-            return Err(Fault::Length { first: from, last: to });
+            return Err(RangeError::Length { first: from, last: to });
         }
         let width = first.len();
         Ok(Some(Range { before: before.into(), after: after.into(), width, first: from, last: to }))
     }
 
-    /// Number of objects.
+    /// Returns the number of objects.
     pub(crate) fn len(&self) -> usize {
         (self.last - self.first) as usize + 1
     }
@@ -126,22 +130,24 @@
     }
 }
 
-/// Whether `name` may name an object.
+/// Returns whether `name` is a valid name of an object.
 pub(crate) fn is_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(allowed)
 }
 
-/// Writes the number of `item` into every text of `node`. A fault comes with its position.
-pub(crate) fn fill(node: &Node, item: Item) -> Result<Node, (Origin, Fault)> {
+/// Expands the templates in every string of `node` for `item`. An error has its position.
+pub(crate) fn expand(node: &Node, item: Item) -> Result<Node, (Origin, RangeError)> {
     let value = match &node.value {
-        Value::Text(text) => item.fill(text).map(Value::Text).map_err(|fault| (node.at, fault))?,
+        Value::Text(text) => {
+            item.expand(text).map(Value::Text).map_err(|error| (node.at, error))?
+        }
         Value::List(items) => {
-            Value::List(items.iter().map(|node| fill(node, item)).collect::<Result<_, _>>()?)
+            Value::List(items.iter().map(|node| expand(node, item)).collect::<Result<_, _>>()?)
         }
         Value::Object(members) => {
             let member =
-                |(key, node): (&CompactString, &Node)| Ok((key.clone(), fill(node, item)?));
+                |(key, node): (&CompactString, &Node)| Ok((key.clone(), expand(node, item)?));
             Value::Object(members.iter().map(member).collect::<Result<_, _>>()?)
         }
         other => other.clone(),
@@ -150,29 +156,29 @@
 }
 
 impl Item {
-    fn fill(self, text: &str) -> Result<CompactString, Fault> {
-        let filled = self.fill_braces(text)?;
-        if filled.len() > MAX_TEXT_BYTES {
-            return Err(Fault::Long { bytes: filled.len() });
+    fn expand(self, text: &str) -> Result<CompactString, RangeError> {
+        let expanded = self.expand_braces(text)?;
+        if expanded.len() > MAX_TEXT_BYTES {
+            return Err(RangeError::Long { bytes: expanded.len() });
         }
-        match filled.contains('+') {
-            true => self.count_up(&filled),
-            false => Ok(filled),
+        match expanded.contains('+') {
+            true => self.increase_address(&expanded),
+            false => Ok(expanded),
         }
     }
 
-    fn fill_braces(self, text: &str) -> Result<CompactString, Fault> {
-        let mut filled = CompactString::default();
+    fn expand_braces(self, text: &str) -> Result<CompactString, RangeError> {
+        let mut expanded = CompactString::default();
         let mut rest = text;
         while let Some((before, tail)) = rest.split_once('{') {
-            let fault = || Fault::Template { text: text.into() };
-            let (inner, after) = tail.split_once('}').ok_or_else(fault)?;
-            filled.push_str(before);
-            filled.push_str(&self.number(inner).ok_or_else(fault)?);
+            let error = || RangeError::Template { text: text.into() };
+            let (inner, after) = tail.split_once('}').ok_or_else(error)?;
+            expanded.push_str(before);
+            expanded.push_str(&self.number(inner).ok_or_else(error)?);
             rest = after;
         }
-        filled.push_str(rest);
-        Ok(filled)
+        expanded.push_str(rest);
+        Ok(expanded)
     }
 
     fn number(self, inner: &str) -> Option<CompactString> {
@@ -186,31 +192,31 @@
         }
     }
 
-    /// Texts with a `+` that is not behind a host or a port stay as they are.
-    fn count_up(self, text: &str) -> Result<CompactString, Fault> {
-        let fault = || Fault::Address { text: text.into(), by: self.position };
+    /// Adds the position to the port or host before a `+`. Other strings with a `+` stay unchanged.
+    fn increase_address(self, text: &str) -> Result<CompactString, RangeError> {
+        let error = || RangeError::Address { text: text.into(), by: self.position };
         if let Some(Ok(mut address)) = text.strip_suffix('+').map(str::parse::<SocketAddr>) {
             let port = u32::from(address.port()) + self.position;
-            address.set_port(u16::try_from(port).map_err(|_| fault())?);
+            address.set_port(u16::try_from(port).map_err(|_| error())?);
             return Ok(format_compact!("{address}"));
         }
         if let Ok(mut address) = text.replacen("+:", ":", 1).replacen("+]", "]", 1).parse() {
             let address: &mut SocketAddr = &mut address;
-            address.set_ip(next_ip(address.ip(), self.position).ok_or_else(fault)?);
+            address.set_ip(add_to_ip(address.ip(), self.position).ok_or_else(error)?);
             return Ok(format_compact!("{address}"));
         }
         Ok(text.into())
     }
 }
 
-fn next_ip(ip: IpAddr, by: u32) -> Option<IpAddr> {
+fn add_to_ip(ip: IpAddr, by: u32) -> Option<IpAddr> {
     match ip {
         IpAddr::V4(ip) => u32::from(ip).checked_add(by).map(|ip| Ipv4Addr::from(ip).into()),
         IpAddr::V6(ip) => u128::from(ip).checked_add(by.into()).map(|ip| Ipv6Addr::from(ip).into()),
     }
 }
 
-/// Digits alone: no sign, no spaces.
+/// Parses a number of digits only, without sign and spaces.
 fn number(s: &str) -> Option<u32> {
     s.bytes().all(|b| b.is_ascii_digit()).then(|| s.parse().ok()).flatten()
 }
--- a/components/settings/src/render.rs
+++ b/components/settings/src/render.rs
@@ -1,4 +1,4 @@
-//! Writes a site as one settings file.
+//! Renders a site as one settings file.
 
 use crate::section::Section;
 use compact_str::format_compact;
@@ -6,10 +6,11 @@
 use serde_json::{Map, Value, json, to_value};
 use site::Site;
 
-/// Hexadecimal digits of a digest that serve as its label.
+/// Number of hexadecimal digits of a digest that are used as its key.
 const LABEL_DIGITS: usize = 16;
 
-/// The merged settings of `site`: one file that says the same as the folder it came from.
+/// Returns the merged settings of `site`: one file that is equivalent to the folder it was read
+/// from.
 pub fn render(site: &Site) -> Value {
     let links = site.links.iter().map(|link| {
         let [a, b] = &link.between;
@@ -41,7 +42,8 @@
     Value::Object(objects.map(object).collect())
 }
 
-/// A domain type always has a JSON form: its keys are texts and its numbers finite.
+/// Converts an object to JSON. This never fails for domain types: their keys are strings and their
+/// numbers are finite.
 fn value<T: Serialize>(object: &T) -> Value {
     let mut value = to_value(object).unwrap_or_default();
     if let Value::Object(fields) = &mut value {
@@ -53,7 +55,7 @@
     value
 }
 
-/// Turns a list into an object whose keys name its elements.
+/// Converts a list into an object whose keys are the names of the elements.
 fn relabel(
     fields: &mut Map<String, Value>,
     field: &str,
--- a/components/settings/src/report/fix.rs
+++ b/components/settings/src/report/fix.rs
@@ -1,4 +1,4 @@
-//! Advice to operators.
+//! Suggested fixes for operators.
 
 use crate::{
     limit::{MAX_FILE_BYTES, MAX_FILES, MAX_NAME_BYTES, MAX_TEXT_BYTES},
@@ -8,11 +8,11 @@
 use compact_str::CompactString;
 
 impl Reason {
-    /// What an operator can do about it.
+    /// Returns how an operator can fix it.
     pub fn fix(&self) -> String {
         match self {
             Reason::Read { .. } => "check that it exists and that you may read it".into(),
-            Reason::FileName => "call it like `20-services.json`".into(),
+            Reason::FileName => "use a name like `20-services.json`".into(),
             Reason::LargeFile { .. } => {
                 format!("split it into files of at most {MAX_FILE_BYTES} bytes")
             }
@@ -20,7 +20,7 @@
                 format!("join small files until there are at most {MAX_FILES}")
             }
             Reason::LargeFolder { .. } | Reason::ManyValues => {
-                "remove what is overridden further down, or objects that are gone".into()
+                "remove what later files override, or objects that no longer exist".into()
             }
             Reason::LongText { .. } => format!("shorten it to {MAX_TEXT_BYTES} bytes"),
             Reason::Syntax { .. } => "correct the JSON at this line".into(),
@@ -43,7 +43,7 @@
                 "use 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`, with at most one \
                  `{{first..last}}`"
             ),
-            Reason::Range { fault } => fault.fix(),
+            Reason::Range { error } => error.fix(),
             Reason::Overlap { .. } => "narrow one of the two, or move it to a later file".into(),
             Reason::NothingToRemove => "remove this line, or correct the name".into(),
             Reason::Reference { section, name, known } => refer(*section, name, known),
@@ -52,7 +52,7 @@
             }
             Reason::Zero => "use a value above zero".into(),
             Reason::Empty => "write at least one".into(),
-            Reason::Unspecified => "write the host's IP number and its port, 1 or more".into(),
+            Reason::Unspecified => "write the host's IP address and a port of 1 or more".into(),
             Reason::Address { .. } => "give each its own address".into(),
             Reason::SharedName { .. } | Reason::Collision { .. } => "rename one of the two".into(),
             Reason::Rack { .. } => "correct the data centre, or rename one of the racks".into(),
--- a/components/settings/src/report/mod.rs
+++ b/components/settings/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What is wrong with settings, where, and how to mend it.
+//! Reports of errors and warnings in settings, with locations and fixes.
 
 mod fix;
 mod quantity;
@@ -9,16 +9,16 @@
 
 use crate::{
     limit::MAX_FINDINGS,
-    place::{Path, Place},
+    location::{Location, Path},
     source::{Origin, Sources},
 };
 use derive_more::{Display, Error};
 use std::fmt;
 
-/// Whether a finding keeps settings from being accepted.
+/// Whether a finding prevents the use of the settings.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Severity {
-    /// The settings are refused.
+    /// The settings are rejected.
     #[display("error")]
     Error,
     /// The settings can be used.
@@ -26,22 +26,22 @@
     Warning,
 }
 
-/// One thing that is wrong.
+/// One error or warning.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Where.
-    pub place: Place,
-    /// What.
+    /// Location in the source files.
+    pub location: Location,
+    /// What is wrong.
     pub reason: Reason,
 }
 
 impl Finding {
-    /// Whether it keeps the settings from being accepted.
+    /// Returns whether it prevents the use of the settings.
     pub fn severity(&self) -> Severity {
         self.reason.severity()
     }
 
-    /// What an operator can do about it.
+    /// Returns how an operator can fix it.
     pub fn fix(&self) -> String {
         self.reason.fix()
     }
@@ -49,7 +49,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}: {}", self.severity(), self.place, self.reason)?;
+        write!(f, "{}: {}: {}", self.severity(), self.location, self.reason)?;
         write!(f, "\n  fix: {}", self.fix())
     }
 }
@@ -57,9 +57,9 @@
 /// Findings, sorted by file and line.
 #[derive(Clone, Debug, Default, Error, Eq, PartialEq)]
 pub struct Report {
-    /// At most [`MAX_FINDINGS`], errors before warnings where some had to be left out.
+    /// At most [`MAX_FINDINGS`] findings. If some are omitted, warnings are omitted first.
     pub findings: Vec<Finding>,
-    /// Number of findings left out.
+    /// Number of omitted findings.
     pub omitted: usize,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Findings that are being collected.
+/// Collects findings.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
     found: Vec<(Severity, Origin, Path, Reason)>,
@@ -88,14 +88,14 @@
         self.found.append(&mut other.found);
     }
 
-    /// Drops findings of members that are not there.
+    /// Removes findings about absent members.
     pub(crate) fn drop_absences(&mut self) {
         self.found.retain(|(.., reason)| {
             !matches!(reason, Reason::MissingField { .. } | Reason::NothingToRemove)
         });
     }
 
-    /// Drops findings that one of `fields` is missing.
+    /// Removes findings that one of `fields` is missing.
     pub(crate) fn drop_missing(&mut self, fields: &[&str]) {
         self.found.retain(|(.., reason)| match reason {
             Reason::MissingField { field } => !fields.contains(&field.as_str()),
@@ -107,14 +107,15 @@
         self.found.iter().any(|(severity, ..)| *severity == Severity::Error)
     }
 
-    /// The report; drops the findings furthest back when there are too many.
+    /// Returns the sorted report. If there are too many findings, the last ones are omitted,
+    /// warnings first.
     pub(crate) fn report(mut self, sources: &Sources) -> Report {
         self.found.sort_by(|a, b| (a.0, a.1, &a.2).cmp(&(b.0, b.1, &b.2)));
         let omitted = self.found.len().saturating_sub(MAX_FINDINGS);
         self.found.truncate(MAX_FINDINGS);
         self.found.sort_by(|a, b| (a.1, &a.2).cmp(&(b.1, &b.2)));
         let finding =
-            |(_, origin, path, reason)| Finding { place: sources.locate(origin, path), reason };
+            |(_, origin, path, reason)| Finding { location: sources.locate(origin, path), reason };
         Report { findings: self.found.into_iter().map(finding).collect(), omitted }
     }
 }
--- a/components/settings/src/report/quantity.rs
+++ b/components/settings/src/report/quantity.rs
@@ -1,10 +1,10 @@
-//! Kinds of quantities that settings write as text.
+//! Kinds of quantities that settings give as strings.
 
 use derive_more::Display;
 use site::unit::{Cores, Memory, ParseError, Span};
 use std::str::FromStr;
 
-/// Makes the parser of every quantity report its units.
+/// Input for which the parser of every quantity has_unit_error its units.
 const PROBE: &str = "1?";
 
 /// A kind of quantity.
@@ -19,29 +19,29 @@
     /// Processor capacity.
     #[display("a number of cores")]
     Cores,
-    /// Any of them: the error is common to all.
+    /// Any quantity: the error is common to all kinds.
     #[display("a quantity")]
     Any,
 }
 
 impl Quantity {
-    /// Every kind, the common errors first.
+    /// Every kind, with the errors common to all first.
     pub(crate) const ALL: [Quantity; 4] =
         [Quantity::Any, Quantity::Span, Quantity::Memory, Quantity::Cores];
 
-    /// Whether `text` is an error of this kind alone.
+    /// Returns whether `text` is an error message of this kind only.
     pub(crate) fn has_error(self, text: &str) -> bool {
         match self {
             Quantity::Any => {
                 [ParseError::Number, ParseError::Range].iter().any(|e| e.to_string() == text)
             }
-            Quantity::Span => reports::<Span>(text),
-            Quantity::Memory => reports::<Memory>(text),
-            Quantity::Cores => reports::<Cores>(text),
+            Quantity::Span => has_unit_error::<Span>(text),
+            Quantity::Memory => has_unit_error::<Memory>(text),
+            Quantity::Cores => has_unit_error::<Cores>(text),
         }
     }
 
-    /// Texts of this kind.
+    /// Returns examples of this kind.
     pub(crate) fn examples(self) -> &'static str {
         match self {
             Quantity::Span => "\"1400us\", \"300ms\", \"30s\", \"5min\"",
@@ -52,6 +52,6 @@
     }
 }
 
-fn reports<T: FromStr<Err = ParseError>>(text: &str) -> bool {
+fn has_unit_error<T: FromStr<Err = ParseError>>(text: &str) -> bool {
     PROBE.parse::<T>().is_err_and(|error| error.to_string() == text)
 }
--- a/components/settings/src/report/reason.rs
+++ b/components/settings/src/report/reason.rs
@@ -1,9 +1,9 @@
-//! Kinds of findings.
+//! Reasons of findings.
 
 use super::{Quantity, Severity};
 use crate::{
     limit::{MAX_FILE_BYTES, MAX_FILES, MAX_FOLDER_BYTES, MAX_TEXT_BYTES, MAX_VALUES},
-    place::Path,
+    location::Path,
     range,
     section::Section,
 };
@@ -12,64 +12,64 @@
 use site::unit::Slots;
 use std::io;
 
-/// What is wrong.
+/// Why a finding was reported.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Reason {
     /// The file or folder can't be read.
     #[display("can't be read: {kind}")]
     Read {
-        /// What the operating system says.
+        /// Error kind from the operating system.
         kind: io::ErrorKind,
     },
     /// The name of the file is not plain text that ends in `.json`.
-    #[display("not a name for a settings file")]
+    #[display("invalid name for a settings file")]
     FileName,
     /// The file is too large.
-    #[display("{bytes} bytes or more, where {MAX_FILE_BYTES} are allowed")]
+    #[display("{bytes} bytes or more, but at most {MAX_FILE_BYTES} are allowed")]
     LargeFile {
-        /// Its size, as far as it was read.
+        /// Number of bytes read.
         bytes: usize,
     },
     /// The folder has too many files.
     #[display("{files} files, more than {MAX_FILES}")]
     ManyFiles {
-        /// Their number.
+        /// Number of files.
         files: usize,
     },
     /// The files of the folder are too large together.
-    #[display("{bytes} bytes or more in all files, where {MAX_FOLDER_BYTES} are allowed")]
+    #[display("{bytes} bytes or more in all files, but at most {MAX_FOLDER_BYTES} are allowed")]
     LargeFolder {
-        /// Their size, as far as they were read.
+        /// Number of bytes read.
         bytes: usize,
     },
     /// The files hold too many values together.
-    #[display("more than {MAX_VALUES} values in all files, numbered names written out")]
+    #[display("more than {MAX_VALUES} values in all files, with numbered names expanded")]
     ManyValues,
-    /// A text is too long.
+    /// A string is too long.
     #[display("text of {bytes} bytes, more than {MAX_TEXT_BYTES}")]
     LongText {
         /// Its size.
         bytes: usize,
     },
-    /// The file is no JSON.
+    /// The file is not valid JSON.
     #[display("not JSON: {detail}")]
     Syntax {
         /// What the JSON library says.
         detail: CompactString,
     },
-    /// An object holds a key twice.
+    /// An object contains a key twice.
     #[display("key given twice: {detail}")]
     DuplicateKey {
         /// What the JSON library says.
         detail: CompactString,
     },
-    /// The top level has a member that is no section.
+    /// The top level has a member that is not a section.
     #[display("unknown section `{name}`")]
     UnknownSection {
         /// Its name.
         name: CompactString,
     },
-    /// An object has a member that its type has not.
+    /// An object has a member that is not a field of its type.
     #[display("unknown field `{field}`")]
     UnknownField {
         /// Its name.
@@ -86,29 +86,29 @@
     /// A value is of the wrong type.
     #[display("expected {expected}, found {found}")]
     Type {
-        /// The type that belongs here.
+        /// The expected type.
         expected: CompactString,
-        /// What stands here.
+        /// The value that was found.
         found: CompactString,
     },
-    /// A text is no quantity, or has a unit of another kind.
+    /// A string is not a quantity, or has a unit of another kind.
     #[display("not {quantity}: {detail}")]
     Quantity {
-        /// What belongs here.
+        /// The expected kind of quantity.
         quantity: Quantity,
-        /// What its parser says.
+        /// Error message of its parser.
         detail: CompactString,
     },
-    /// A text is no address.
-    #[display("not an IP number and a port")]
+    /// A string is not a socket address.
+    #[display("not an IP address and a port")]
     SocketAddress,
     /// A value is of the right type but out of range.
     #[display("{detail}")]
     Value {
-        /// What the type says.
+        /// Error message of the type.
         detail: CompactString,
     },
-    /// A text is none of the choices.
+    /// A string is not one of the choices.
     #[display("`{value}` is not one of the choices")]
     Choice {
         /// The text.
@@ -117,34 +117,34 @@
         expected: Vec<CompactString>,
     },
     /// A name is empty, too long or holds other characters than letters, digits, `-`, `_`, `.`.
-    #[display("`{name}` can't be a name")]
+    #[display("`{name}` is not a valid name")]
     Name {
         /// The text.
         name: CompactString,
     },
-    /// A numbered name or a field that follows it can't be written out.
-    #[display("{fault}")]
+    /// A numbered name or a template in its object can't be expanded.
+    #[display("{error}")]
     Range {
-        /// Why.
-        fault: range::Fault,
+        /// Error of the expansion.
+        error: range::RangeError,
     },
-    /// Two keys of one file stand for one object.
+    /// Two keys of one file expand to the same object.
     #[display("`{name}` is given twice in this file")]
     Overlap {
         /// The object.
         name: CompactString,
     },
-    /// There is nothing that `null` could remove.
+    /// A `null` refers to a member that does not exist.
     #[display("`null` removes nothing")]
     NothingToRemove,
-    /// No object has that name.
+    /// No object has the name of a reference.
     #[display("no {} is called `{name}`", section.noun())]
     Reference {
-        /// Where it would be.
+        /// The section that should contain the object.
         section: Section,
         /// The name.
         name: CompactString,
-        /// Some names that there are.
+        /// Some names of existing objects.
         known: Vec<CompactString>,
     },
     /// An executor's service runs on workers.
@@ -153,23 +153,23 @@
         /// The service.
         service: CompactString,
     },
-    /// A number that must not be zero.
+    /// A number is zero but must not be.
     #[display("must not be zero")]
     Zero,
-    /// A list that must not be empty.
+    /// A list is empty but must not be.
     #[display("must not be empty")]
     Empty,
-    /// No machine can be reached at this address.
+    /// The address has an unspecified host or port zero.
     #[display("address without a host or a port")]
     Unspecified,
     /// Two objects share an address.
-    #[display("the address is that of `{other}` too")]
+    #[display("the address is also that of `{other}`")]
     Address {
         /// The other one.
         other: Path,
     },
     /// An executor and a worker share a name.
-    #[display("the name is that of `{other}` too")]
+    #[display("the name is also that of `{other}`")]
     SharedName {
         /// The other one.
         other: Path,
@@ -180,65 +180,65 @@
         /// The other one.
         other: CompactString,
     },
-    /// A rack stands in two data centres.
-    #[display("rack `{rack}` stands in data centre `{other}` too")]
+    /// A rack is in two data centres.
+    #[display("rack `{rack}` is also in data centre `{other}`")]
     Rack {
         /// The rack.
         rack: CompactString,
         /// The data centre of another of its workers.
         other: CompactString,
     },
-    /// Both ends of a link are one data centre.
+    /// Both ends of a link are the same data centre.
     #[display("both ends are `{end}`")]
     Loop {
         /// The data centre.
         end: CompactString,
     },
-    /// Two links join one pair of data centres.
+    /// Two links join the same pair of data centres.
     #[display("joins the same data centres as `{other}`")]
     LinkTwin {
         /// The other one.
         other: Path,
     },
-    /// Two contracts bind one firm and service.
-    #[display("binds the same firm and service as `{other}`")]
+    /// Two contracts are for the same firm and service.
+    #[display("is for the same firm and service as `{other}`")]
     ContractTwin {
         /// The other one.
         other: Path,
     },
-    /// Not the digest of a key.
+    /// A string is not the digest of a key.
     #[display("not a SHA-256 digest")]
     Digest,
     /// Two objects share a key.
-    #[display("the key is that of `{other}` too")]
+    #[display("the key is also that of `{other}`")]
     SharedKey {
         /// The other one.
         other: Path,
     },
-    /// A quota that nothing can use up.
+    /// A quota is larger than the slots of the service's executors.
     #[display("quota of {quota}, but the executors of the service have {capacity} slots")]
     Quota {
         /// The quota.
         quota: Slots,
-        /// All slots of the service.
+        /// Number of slots of the service's executors.
         capacity: Slots,
     },
-    /// A contract or need that no endpoint can serve.
+    /// No endpoint can run a service.
     #[display("no endpoint can run service `{service}`")]
     NoEndpoint {
         /// The service.
         service: CompactString,
     },
-    /// A firm that may use no service.
+    /// A firm has no contract, so it can't use any service.
     #[display("firm without a contract")]
     NoContract,
-    /// A data centre that no link reaches.
+    /// A data centre has no link to another one.
     #[display("data centre without a link")]
     NoLink,
 }
 
 impl Reason {
-    /// Whether it keeps the settings from being accepted.
+    /// Returns whether it prevents the use of the settings.
     pub fn severity(&self) -> Severity {
         match self {
             Reason::NothingToRemove
--- a/components/settings/src/section.rs
+++ b/components/settings/src/section.rs
@@ -3,15 +3,15 @@
 use derive_more::{Display, Error};
 use std::str::FromStr;
 
-/// A member of a settings file's top level.
+/// A top-level member of a settings file.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{}", self.key())]
 pub enum Section {
-    /// One object of policy.
+    /// The policy, a single object.
     Policy,
     /// Data centres by name.
     DataCentres,
-    /// Links, each with a name of its own.
+    /// Links by an arbitrary name.
     Links,
     /// Services by name.
     Services,
@@ -21,7 +21,7 @@
     Workers,
     /// Firms by name.
     Firms,
-    /// Contracts, each with a name of its own.
+    /// Contracts by an arbitrary name.
     Contracts,
     /// Operators by name.
     Operators,
@@ -41,7 +41,7 @@
         Section::Operators,
     ];
 
-    /// What a settings file calls it.
+    /// Returns its key in a settings file.
     pub fn key(self) -> &'static str {
         match self {
             Section::Policy => "policy",
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Whether the section maps names to objects.
+    /// Returns whether the section maps names to objects.
     pub fn holds_objects(self) -> bool {
         self != Section::Policy
     }
 
-    /// What one object of the section is called.
+    /// Returns the noun for one object of the section.
     pub fn noun(self) -> &'static str {
         match self {
             Section::Policy => "policy",
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Fields without a default.
+    /// Returns the fields without a default.
     pub(crate) fn required(self) -> &'static [&'static str] {
         match self {
             Section::DataCentres => &["region"],
@@ -89,7 +89,7 @@
     }
 }
 
-/// The text is not the key of a section.
+/// Error for a text that is not the key of a section.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 #[display("not a section")]
 pub struct ParseError;
--- a/components/settings/src/source.rs
+++ b/components/settings/src/source.rs
@@ -1,6 +1,6 @@
-//! The files of a folder and positions in them.
+//! The files of a folder, and positions in them.
 
-use crate::place::{Path, Place};
+use crate::location::{Location, Path};
 use bytes::Bytes;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
@@ -8,16 +8,16 @@
 /// The files of a folder by name. The order of the names is the order of merging.
 pub type Files = BTreeMap<CompactString, Bytes>;
 
-/// A position: a file and an offset in it. Orders as the merge does.
+/// A position: a file and an offset in it. Ordered like the merge.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Origin {
-    /// Position of the file among the sources.
+    /// Index of the file among the sources.
     pub(crate) file: usize,
-    /// In bytes.
+    /// Offset in the file in bytes.
     pub(crate) offset: usize,
 }
 
-/// Texts that origins refer to.
+/// The files that origins refer to.
 #[derive(Debug, Default)]
 pub(crate) struct Sources {
     files: Vec<(CompactString, Bytes)>,
@@ -28,7 +28,7 @@
         Self { files: files.iter().map(|(name, text)| (name.clone(), text.clone())).collect() }
     }
 
-    /// Adds a file behind the others and tells its start.
+    /// Appends a file and returns the origin of its start.
     pub(crate) fn push(&mut self, name: CompactString, text: Bytes) -> Origin {
         self.files.push((name, text));
         Origin { file: self.files.len() - 1, offset: 0 }
@@ -39,19 +39,20 @@
         self.files.iter().enumerate().map(move |(file, (name, text))| (start(file), name, text))
     }
 
-    /// File, line and column of `origin`.
-    pub(crate) fn locate(&self, origin: Origin, path: Path) -> Place {
+    /// Returns the file, line and column of `origin`.
+    pub(crate) fn locate(&self, origin: Origin, path: Path) -> Location {
         let Some((file, text)) = self.files.get(origin.file) else {
-            return Place { file: CompactString::default(), line: 1, column: 1, path };
+            return Location { file: CompactString::default(), line: 1, column: 1, path };
         };
         let before = &text[..origin.offset.min(text.len())];
         let line_start = before.iter().rposition(|&b| b == b'\n').map_or(0, |at| at + 1);
         let line = 1 + before.iter().filter(|&&b| b == b'\n').count();
         let column = 1 + before[line_start..].iter().filter(|&&b| starts_char(b)).count();
-        Place { file: file.clone(), line, column, path }
+        Location { file: file.clone(), line, column, path }
     }
 
-    /// The offset of a line and column, as JSON errors give them: both from 1, columns in bytes.
+    /// Returns the offset of a line and column as reported by JSON errors: both from 1, columns in
+    /// bytes.
     pub(crate) fn offset(text: &[u8], line: usize, column: usize) -> usize {
         let line_start = match line {
             0 | 1 => 0,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Whether a byte of UTF-8 starts a character.
+/// Returns whether a byte of UTF-8 starts a character.
 fn starts_char(byte: u8) -> bool {
     byte & 0xc0 != 0x80
 }
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -1,8 +1,8 @@
-//! JSON values that know their position.
+//! JSON values with their positions in the source files.
 
 use crate::{
     limit::MAX_TEXT_BYTES,
-    place::{Path, Trail},
+    location::{Path, Trail},
     report::{Findings, Reason},
     source::{Origin, Sources},
 };
@@ -17,9 +17,9 @@
 /// A value and its position.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
-    /// Of the key, for a member of an object; else of the value.
+    /// Position of the key for a member of an object, else of the value.
     pub(crate) key: Origin,
-    /// Of the value.
+    /// Position of the value.
     pub(crate) at: Origin,
     pub(crate) value: Value,
 }
@@ -36,7 +36,7 @@
 }
 
 impl Node {
-    /// The member that `path` leads to.
+    /// Returns the member at `path`.
     pub(crate) fn get(&self, path: &[CompactString]) -> Option<&Node> {
         let Some((key, rest)) = path.split_first() else { return Some(self) };
         match &self.value {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes away the member that `path` leads to, or the list that holds it.
+    /// Removes the member at `path`, or the list that contains it. Returns whether it was found.
     pub(crate) fn remove(&mut self, path: &[CompactString]) -> bool {
         let Value::Object(members) = &mut self.value else { return false };
         match path {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Number of values in here, this one among them.
+    /// Returns the number of values in this tree, including the root.
     pub(crate) fn size(&self) -> usize {
         1 + match &self.value {
             Value::List(items) => items.iter().map(Node::size).sum(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether a member of an object in here, at any depth, is `null`.
+    /// Returns whether a member of an object at any depth is `null`.
     pub(crate) fn has_null(&self) -> bool {
         match &self.value {
             Value::Null => true,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads the JSON `text` that starts at `start`.
+/// Parses the JSON `text` that starts at `start`.
 pub(crate) fn read(text: &[u8], start: Origin, findings: &mut Findings) -> Option<Node> {
     match json::from_slice::<spanned::Value>(text) {
         Ok(value) => Some(Reader { start, findings }.node(&value, None, &Trail::ROOT)),
@@ -106,7 +106,8 @@
     Origin { offset: Sources::offset(text, error.line(), error.column()), ..start }
 }
 
-/// Every JSON value is welcome, so that an error of the data can only be a key given twice.
+/// Converts a JSON error. Every JSON value is accepted, so a data error can only be a duplicate
+/// key.
 fn reason(error: &serde_json::Error) -> Reason {
     let text = error.to_string();
     let detail = text.rsplit_once(" at line ").map_or(text.as_str(), |(detail, _)| detail);
@@ -167,7 +168,7 @@
     }
 }
 
-/// What kind of value it is.
+/// Describes the value for error messages.
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/components/settings/tests/fixtures.rs
+++ b/components/settings/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! The sample folders: good ones load, bad ones report what is wrong.
+//! Sample folders: valid ones load, invalid ones report every error.
 
 use settings::{Folder, Reason, Report, Severity, daemon::Daemon, load, parse, render};
 use site::{policy::Priority, unit::Slots};
@@ -23,7 +23,8 @@
     names
 }
 
-/// Reports name files as the folder does; those of daemons by their path.
+/// Returns the text of a report. Paths of fixtures, which reports of daemons contain, are made
+/// relative.
 fn shown(report: &Report) -> String {
     report.to_string().replace(&*fixtures().to_string_lossy(), "fixtures")
 }
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn rendered_settings_say_the_same() {
+fn rendered_settings_are_equivalent() {
     for name in ["kovacik", "clydeside"] {
         let site = folder(name).checked.site;
         let text = render(&site).to_string();
@@ -63,14 +64,14 @@
 }
 
 #[test]
-fn bad_folders_report_every_fault() {
+fn bad_folders_report_every_error() {
     for case in file_names("bad") {
-        let (report, refused) = match load(&fixtures().join("bad").join(&case)) {
+        let (report, rejected) = match load(&fixtures().join("bad").join(&case)) {
             Ok(folder) => (folder.checked.warnings, false),
             Err(report) => (report, true),
         };
         let errors = report.findings.iter().any(|finding| finding.severity() == Severity::Error);
-        assert_eq!(errors, refused, "{case}");
+        assert_eq!(errors, rejected, "{case}");
         assert!(!report.findings.is_empty(), "{case}");
         insta::assert_snapshot!(case, shown(&report));
     }
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn bad_daemons_report_every_fault() {
+fn bad_daemons_report_every_error() {
     for case in file_names("bad-daemon") {
         let report = Daemon::load(&fixtures().join("bad-daemon").join(&case)).unwrap_err();
         insta::assert_snapshot!(format!("daemon-{case}"), shown(&report));
@@ -91,24 +92,24 @@
 }
 
 #[test]
-fn a_file_too_large_is_not_read_whole() {
+fn a_file_that_is_too_large_is_not_read_completely() {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join("too-large");
     fs::create_dir_all(&dir).unwrap();
-    // Sparse: takes no room on the disk.
+    // A sparse file: takes no space on the disk.
     fs::File::create(dir.join("10-large.json")).unwrap().set_len(1 << 40).unwrap();
     let report = load(&dir).unwrap_err();
     assert!(matches!(report.findings[0].reason, Reason::LargeFile { .. }));
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_reported() {
+fn a_missing_folder_is_reported() {
     let report = load(&fixtures().join("none")).unwrap_err();
     assert!(matches!(report.findings[0].reason, Reason::Read { .. }));
 }
 
 /// Every example of the manual can be added to a sample folder.
 #[test]
-fn the_examples_of_the_manual_hold() {
+fn the_examples_of_the_manual_are_valid() {
     let manual = fs::read_to_string(fixtures().join("../docs/SETTINGS.md")).unwrap();
     let examples: Vec<_> = manual
         .split("```json\n")
--- a/components/settings/tests/merge.rs
+++ b/components/settings/tests/merge.rs
@@ -1,8 +1,8 @@
-//! Merging of files, numbered names, comparison and bounds.
+//! Merging of files, numbered names, differences and limits.
 
 use settings::{
-    Change, Digest, Files, Path, Reason, Report, Section, Step, collisions, diff, digest, limit,
-    parse,
+    Change, ChangeKind, Digest, Files, Path, Reason, Report, Section, collisions, diff, digest,
+    limit, parse,
 };
 use site::{Site, id::EndpointId, unit::Slots};
 
@@ -32,16 +32,16 @@
     parse(&files(texts)).unwrap_or_else(|report| panic!("{report}")).site
 }
 
-fn refusal(files: &Files) -> Report {
-    parse(files).expect_err("must be refused")
+fn report_of(files: &Files) -> Report {
+    parse(files).expect_err("must be rejected")
 }
 
 fn reasons(files: &Files) -> Vec<Reason> {
-    refusal(files).findings.into_iter().map(|finding| finding.reason).collect()
+    report_of(files).findings.into_iter().map(|finding| finding.reason).collect()
 }
 
 #[test]
-fn numbered_names_count_names_addresses_and_groups() {
+fn numbered_names_expand_to_names_addresses_and_groups() {
     let site = site(&[BASE]);
     let executor = |name| site.executors[&EndpointId::of(name)].address.to_string();
     assert_eq!(executor("n-08"), "10.0.0.255:7001");
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn a_change_taken_back_leaves_no_trace() {
+fn a_reverted_change_has_no_effect() {
     let change = r#"{ "services": { "check": { "slots": 9 } } }"#;
     assert_ne!(site(&[BASE, change]), site(&[BASE]));
     assert_eq!(site(&[BASE, "{}"]), site(&[BASE]));
 }
 
 #[test]
-fn differences_are_told_by_file_object_and_field() {
+fn differences_are_listed_by_file_object_and_field() {
     let old = files(&[BASE, r#"{ "policy": { "prefer": "messages" } }"#]);
     let mut new = files(&[
         BASE,
@@ -94,22 +94,26 @@
     insta::assert_snapshot!("diff", shown.join("\n"));
     assert!(diff(&old, &old).is_empty());
     new.remove("00.json");
-    let gone =
-        Change::Object { section: Section::DataCentres, name: "north".into(), step: Step::Removed };
+    let gone = Change::Object {
+        section: Section::DataCentres,
+        name: "north".into(),
+        step: ChangeKind::Removed,
+    };
     assert!(diff(&old, &new).contains(&gone));
 }
 
 #[test]
 fn a_finding_has_its_line_and_column_in_characters() {
-    let report = refusal(&files(&["{\n  \"firms\": { \"é\": {}, \"a\": {\"weight\": \"é\"} }\n}"]));
-    let places: Vec<_> = report.findings.into_iter().map(|finding| finding.place).collect();
-    assert_eq!((places[0].line, places[0].column), (2, 14));
-    assert_eq!((places[1].line, places[1].column), (2, 39));
-    assert_eq!(places[1].path, Path::of(["firms", "a", "weight"]));
+    let report =
+        report_of(&files(&["{\n  \"firms\": { \"é\": {}, \"a\": {\"weight\": \"é\"} }\n}"]));
+    let locations: Vec<_> = report.findings.into_iter().map(|finding| finding.location).collect();
+    assert_eq!((locations[0].line, locations[0].column), (2, 14));
+    assert_eq!((locations[1].line, locations[1].column), (2, 39));
+    assert_eq!(locations[1].path, Path::of(["firms", "a", "weight"]));
 }
 
 #[test]
-fn bounds_are_kept() {
+fn limits_are_enforced() {
     let large = " ".repeat(limit::MAX_FILE_BYTES + 1);
     assert!(matches!(reasons(&files(&[&large]))[..], [Reason::LargeFile { .. }]));
 
@@ -130,21 +134,21 @@
 
 #[test]
 fn a_report_is_bounded() {
-    let report = refusal(&files(&[r#"{ "executors": { "a-{1..300}": { "x": 1 } } }"#]));
+    let report = report_of(&files(&[r#"{ "executors": { "a-{1..300}": { "x": 1 } } }"#]));
     assert_eq!(report.findings.len(), limit::MAX_FINDINGS);
     // Each executor lacks three fields and has an unknown one.
     assert_eq!(report.findings.len() + report.omitted, 300 * 4);
 }
 
 #[test]
-fn names_with_one_identifier_are_found() {
+fn names_with_the_same_identifier_are_found() {
     let length = |name: &str| name.len() as u64;
     assert_eq!(collisions(["a", "bb", "cc", "bb"], length), [("cc", "bb")]);
     assert!(collisions(["a", "a"], length).is_empty());
 }
 
 #[test]
-fn digests_have_one_text() {
+fn digests_have_a_unique_text_form() {
     let empty = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
     assert_eq!(digest(b"").to_string(), empty);
     assert_eq!(empty.parse(), Ok(digest(b"")));
--- a/components/settings/tests/robust.rs
+++ b/components/settings/tests/robust.rs
@@ -1,4 +1,4 @@
-//! No input makes the checks panic, and nothing is half accepted.
+//! No input makes the checks panic, and settings are accepted completely or rejected.
 
 use proptest::{collection::vec, prelude::*, sample::Index, test_runner::RngSeed};
 use settings::{Files, daemon::Daemon, diff, parse, read, render};
@@ -20,19 +20,19 @@
     read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../../fixtures").join(name)).unwrap()
 }
 
-/// Pieces that JSON and numbered names are made of.
-const PIECES: [&str; 16] = [
+/// Fragments of JSON and numbered names.
+const FRAGMENTS: [&str; 16] = [
     "null", "{", "}", "[", "]", "\"", ",", ":", "-1", "1e999", "{n/0}", "{0..9}", "+", "0",
     "\\u00", "é",
 ];
 
-/// Replaces some bytes of `text` by another piece.
+/// Replaces some bytes of `text` by fragments.
 fn mutate(text: &[u8], edits: &[(Index, usize, Index)]) -> Vec<u8> {
     let mut text = text.to_vec();
-    for (at, length, piece) in edits {
+    for (at, length, fragment) in edits {
         let start = at.index(text.len() + 1);
         let end = (start + length).min(text.len());
-        text.splice(start..end, piece.get(&PIECES).bytes());
+        text.splice(start..end, fragment.get(&FRAGMENTS).bytes());
     }
     text
 }
@@ -49,7 +49,7 @@
     }
 
     #[test]
-    fn mutated_folders_are_accepted_whole_or_refused(
+    fn mutated_folders_are_accepted_completely_or_rejected(
         file in any::<Index>(),
         edits in vec((any::<Index>(), 0..12usize, any::<Index>()), 1..4),
     ) {
--- a/components/site/src/contract.rs
+++ b/components/site/src/contract.rs
@@ -8,11 +8,12 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Contract {
-    /// The firm, by name.
+    /// Name of the firm.
     pub firm: CompactString,
-    /// The service, by name.
+    /// Name of the service.
     pub service: CompactString,
-    /// Most tasks that the firm may have running at one time, over all entries. No limit if absent.
+    /// Maximum number of tasks that the firm may run at one time, over all entries. No limit if
+    /// absent.
     #[serde(default)]
     pub quota: Option<Slots>,
 }
--- a/components/site/src/executor.rs
+++ b/components/site/src/executor.rs
@@ -5,22 +5,22 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An executor.
+/// Settings of an executor.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Executor {
-    /// Unique among executors and workers.
+    /// Name, unique among executors and workers.
     pub name: CompactString,
-    /// The data centre it stands in, by name.
+    /// Name of the data centre it is in.
     pub data_centre: CompactString,
-    /// Where it accepts HTTP/1.1 connections.
+    /// Address where it accepts HTTP/1.1 connections.
     pub address: SocketAddr,
-    /// The service it runs, by name. That service runs on executors.
+    /// Name of the service it runs, whose `place` must be `executors`.
     pub service: CompactString,
-    /// Requests served at one time. Defaults to the service's.
+    /// Number of requests it serves at one time. Defaults to that of the service.
     #[serde(default)]
     pub slots: Option<Slots>,
-    /// Gets no new work when set.
+    /// Whether it is leaving the site, so that it gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/components/site/src/id.rs
+++ b/components/site/src/id.rs
@@ -1,5 +1,5 @@
 //! Identifiers. Named objects are identified by a stable 64-bit hash of their name, so that all
-//! entries use the same identifier without agreeing on one; `settings` rejects a collision.
+//! entries derive the same identifier without coordination; `settings` rejects a collision.
 
 use derive_more::{Display, Error, FromStr};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
         number_id!($($(#[$doc])* $name),*);
         $(impl $name {
-            /// The identifier of the object called `name`.
+            /// Returns the identifier of the object called `name`.
             pub fn of(name: &str) -> Self {
                 Self(xxh3_64(name.as_bytes()))
             }
@@ -34,9 +34,9 @@
 named_id!(
     /// Identifies a data centre.
     DataCentreId,
-    /// Identifies an entry VM, whatever process runs on it.
+    /// Identifies an entry VM, independently of the process that runs on it.
     EntryId,
-    /// Identifies an executor or a worker: anything that runs tasks.
+    /// Identifies an endpoint: an executor or a worker.
     EndpointId,
     /// Identifies a firm.
     FirmId,
@@ -51,25 +51,25 @@
 );
 
 number_id!(
-    /// Identifies one process of an entry. Drawn at random when the process starts.
+    /// Identifies one process of an entry. Chosen at random when the process starts.
     Incarnation,
     /// Identifies one attempt to run a task. Unique within the process that made it.
     AttemptId,
-    /// Names the place in the outside world that waits for an answer. The caller of the library
-    /// chooses it and gets it back unchanged.
+    /// Identifies who waits for an answer outside the library. Assigned by the caller of the
+    /// library and returned unchanged.
     WaiterId,
 );
 
-/// The one process that may admit a submission.
+/// The home of a submission: the only process that may admit it.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Home {
-    /// Where the entry stands.
+    /// Data centre of the entry.
     pub data_centre: DataCentreId,
-    /// The entry.
+    /// The entry that the process belongs to.
     pub entry: EntryId,
-    /// The process of that entry.
+    /// Identifies the process among those of the entry.
     pub incarnation: Incarnation,
 }
 
@@ -79,16 +79,16 @@
     }
 }
 
-/// Reasons why a text is no identifier.
+/// Error of parsing an identifier.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 pub enum ParseError {
-    /// A home is three hexadecimal numbers joined by `-`.
+    /// Not a home, which is three hexadecimal numbers joined by `-`.
     #[display("not a home: expected three hexadecimal numbers joined by '-'")]
     Home,
-    /// A token is four hexadecimal numbers joined by `-`.
+    /// Not a token, which is four hexadecimal numbers joined by `-`.
     #[display("not a home token: expected four hexadecimal numbers joined by '-'")]
     Token,
-    /// A submission identifier is a home token, a `.` and a UUID.
+    /// Not a submission identifier, which is a home token, a `.` and a UUID.
     #[display("not a submission id: expected a home token, '.' and a UUID")]
     Submission,
 }
@@ -111,24 +111,26 @@
     }
 }
 
-/// Strict lower-case hexadecimal without sign or leading zeros, so that each value has one text.
+/// Parses strict lower-case hexadecimal without sign or leading zeros, so that each value has one
+/// text form.
 fn parse_hex(s: &str) -> Option<u64> {
     let value = u64::from_str_radix(s, 16).ok()?;
     (format!("{value:x}") == s).then_some(value)
 }
 
-/// What a caller needs to make identifiers of submissions: a home and its current epoch.
+/// A home token: a home and its current epoch, from which a caller makes identifiers of
+/// submissions.
 ///
-/// The home counts epochs by its own clock and remembers every submission of the epochs that it
-/// still accepts. It refuses identifiers of older epochs, so it can forget without ever admitting
-/// a submission twice.
+/// The home counts epochs by its own clock and keeps a record of every submission of the epochs
+/// that it still accepts. It rejects identifiers of older epochs, so it can drop their records
+/// without ever admitting a submission twice.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Token {
     /// The only process that may admit submissions made with this token.
     pub home: Home,
-    /// Counted by the home from 0.
+    /// Epoch, counted by the home from 0.
     pub epoch: u32,
 }
 
@@ -156,14 +158,14 @@
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct SubmissionId {
-    /// Names the only process that may admit this submission.
+    /// Token of the only process that may admit this submission.
     pub token: Token,
-    /// Chosen by the caller; unique among the submissions of that home.
+    /// Chosen by the caller; unique among the submissions of the home.
     pub unique: Uuid,
 }
 
 impl SubmissionId {
-    /// The only process that may admit this submission.
+    /// Returns the only process that may admit this submission.
     pub fn home(&self) -> Home {
         self.token.home
     }
--- a/components/site/src/lib.rs
+++ b/components/site/src/lib.rs
@@ -1,5 +1,5 @@
-//! The objects that a dispatcher works with: data centres, links, executors, workers, firms,
-//! services and contracts, with the identifiers and units that name and measure them.
+//! The domain types of the dispatcher: data centres, links, executors, workers, firms, services,
+//! contracts and submissions, with their identifiers and units.
 //!
 //! Everything here is plain data. Nothing reads a clock, a file or a socket.
 
@@ -11,9 +11,9 @@
 pub mod policy;
 pub mod service;
 pub mod submission;
+pub mod topology;
 pub mod unit;
 pub mod worker;
-pub mod zone;
 
 pub use contract::Contract;
 pub use executor::Executor;
@@ -21,5 +21,5 @@
 pub use operator::Operator;
 pub use policy::Policy;
 pub use service::Service;
+pub use topology::{DataCentre, Link, Site};
 pub use worker::Worker;
-pub use zone::{DataCentre, Link, Site};
--- a/components/site/src/policy.rs
+++ b/components/site/src/policy.rs
@@ -1,15 +1,15 @@
-//! Site policy: one trade between response time and messages.
+//! Site policy: the trade-off between response time and number of messages.
 
 use serde::{Deserialize, Serialize};
 
-/// What to prefer where response time and messages are at odds.
+/// The goal to prefer where response time and number of messages conflict.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Spend messages to answer sooner.
+    /// Send more messages to answer sooner.
     #[default]
     ResponseTime,
-    /// Wait a little to save messages.
+    /// Delay work briefly to send fewer messages.
     Messages,
 }
 
@@ -17,6 +17,6 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Policy {
-    /// The trade that every decision follows.
+    /// The goal that decisions prefer.
     pub prefer: Priority,
 }
--- a/components/site/src/service.rs
+++ b/components/site/src/service.rs
@@ -1,49 +1,49 @@
-//! Services: what a task asks an endpoint to do.
+//! Services: kinds of work that tasks request from endpoints.
 
 use crate::unit::{Memory, Resources, Slots, Span};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Where the tasks of a service run.
+/// The kind of endpoints that run the tasks of a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Place {
-    /// On executors, one slot a task.
+    /// Executors, with one slot for each task.
     #[default]
     Executors,
-    /// On workers, by resources.
+    /// Workers, by the resources that a task needs.
     Workers,
 }
 
-/// A service.
+/// Settings of a service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Service {
-    /// Unique among the services.
+    /// Name, unique among the services.
     pub name: CompactString,
-    /// Where its tasks run.
+    /// The kind of endpoints that run its tasks.
     #[serde(default)]
     pub place: Place,
-    /// Whether a request may run again after an attempt that may have run. Requests may say less,
-    /// never more.
+    /// Whether a task may run again after an attempt that may have run. A request may forbid this,
+    /// but can't allow it if the service does not.
     #[serde(default)]
     pub repeatable: bool,
-    /// Deadline of a request that names none.
+    /// Deadline of a request without one.
     #[serde(default = "default_deadline")]
     pub deadline: Span,
-    /// Requests that one executor serves at one time.
+    /// Number of requests that one executor serves at one time.
     #[serde(default = "default_slots")]
     pub slots: Slots,
-    /// Connections that one executor accepts from the whole site.
+    /// Number of connections that one executor accepts from the whole site.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Expected run time of a task, a hint that measured times replace.
+    /// Expected run time of a task; a hint that measured times replace.
     #[serde(default = "default_run_time")]
     pub run_time: Span,
-    /// What a task needs on a worker, a hint that measured usage replaces.
+    /// Resources that a task needs on a worker; a hint that measured usage replaces.
     #[serde(default)]
     pub needs: Resources,
-    /// Largest body of a request or an answer.
+    /// Maximum size of the body of a request or an answer.
     #[serde(default = "default_body_limit")]
     pub body_limit: Memory,
 }
--- a/components/site/src/submission.rs
+++ b/components/site/src/submission.rs
@@ -1,4 +1,4 @@
-//! What callers submit and what they get back.
+//! Submissions of callers and the answers to them.
 
 use crate::{
     id::{CrewId, FirmId, ServiceId, SubmissionId},
@@ -8,50 +8,50 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Most tasks that one submission may hold.
+/// Maximum number of tasks of a submission.
 pub const MAX_TASKS: usize = 780;
 
-/// Whether a submission answers as a job or as a single request.
+/// Whether a submission is a job or a single request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Many tasks; a task never starts twice, whatever happens.
+    /// Many tasks; a task never starts twice, whatever fails.
     Job,
-    /// One task whose body and answer are passed through whole.
+    /// One task whose body and answer are passed through unchanged.
     Single,
 }
 
-/// A job or a single request, as a caller hands it in.
+/// A job or a single request, as a caller sends it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Names the home; the same identifier is the same submission.
+    /// Identifies the submission and its home. A resubmission has the same identifier.
     pub id: SubmissionId,
-    /// Job or single request.
+    /// Whether it is a job or a single request.
     pub kind: Kind,
-    /// Who pays.
+    /// The firm that is charged.
     pub firm: FirmId,
-    /// The part of the firm.
+    /// The crew of the firm that submits it.
     pub crew: CrewId,
-    /// What runs.
+    /// The service that runs its tasks.
     pub service: ServiceId,
     /// Whether a task may run again after an attempt that may have run.
     pub repeatable: bool,
-    /// Time left until the caller stops waiting, counted from the event that carries this.
+    /// Time left until the caller stops waiting, measured from the event that contains this.
     pub deadline: Span,
-    /// At least one and at most [`MAX_TASKS`].
+    /// The tasks: at least one and at most [`MAX_TASKS`].
     pub tasks: Vec<Task>,
 }
 
 /// One task of a submission.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Task {
-    /// Passed to the endpoint unchanged.
+    /// Body of the request, passed to the endpoint unchanged.
     pub body: Bytes,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// What the caller believes the task needs; a hint.
+    /// Resources that the task needs according to the caller; a hint.
     pub needs: Resources,
-    /// How long the caller believes the task runs; a hint. Zero when unknown.
+    /// Run time of the task according to the caller; a hint. Zero if unknown.
     pub run_time: Span,
 }
 
@@ -62,28 +62,28 @@
     pub status: u16,
     /// Media type of the body.
     pub content_type: CompactString,
-    /// The body, whole.
+    /// The complete body.
     pub body: Bytes,
 }
 
 /// The final answer to a submission. Never partial.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Every task ran and answered; outputs in the order of the tasks.
+    /// Every task ran and was answered; the outputs are in the order of the tasks.
     Complete(Vec<Output>),
-    /// No answer.
+    /// The submission failed.
     Failed(Failure),
 }
 
-/// What is known about a failed submission.
+/// Whether a failed submission may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Nothing of it ran or ever will.
+    /// None of its tasks ran or will run.
     NotRun,
-    /// Some of it may have run.
+    /// Some of its tasks may have run.
     MayHaveRun,
-    /// It ran, and ended in a failure.
+    /// It ran and failed.
     RanAndFailed,
 }
 
@@ -93,45 +93,45 @@
 pub enum Reason {
     /// The deadline passed.
     Deadline,
-    /// It could not have met its deadline.
+    /// It was rejected because it could not have met its deadline.
     Overload,
     /// The firm's quota or queue is full.
     Quota,
-    /// No endpoint could ever run it.
+    /// No endpoint is large enough to run it.
     Impossible,
     /// No endpoint of the service can be reached.
     NoEndpoint,
     /// The caller cancelled it.
     Cancelled,
-    /// The home is gone.
+    /// The home has ended.
     HomeGone,
-    /// The home can't be reached now.
+    /// The home is unreachable at present.
     HomeUnreachable,
-    /// This entry is stopping.
+    /// The entry is draining.
     Draining,
-    /// The platform's service, needed for this request, is out.
+    /// The platform's key-value service is unavailable, and this request needs it.
     PlatformOut,
-    /// The identifier was used before with other content.
+    /// The identifier was used before with different content.
     Conflict,
-    /// The identifier is not known.
+    /// The identifier is unknown.
     Unknown,
     /// The identifier is too old to be admitted, or its answer is no longer kept.
     Expired,
-    /// The service has no such name, or the firm no contract for it.
+    /// No service has this name, or the firm has no contract for it.
     NoContract,
-    /// The tasks are none or too many, or a body is too large.
+    /// There are no tasks or too many, or a body is too large.
     Size,
-    /// An endpoint failed the task.
+    /// An endpoint answered a task with a failure.
     Endpoint,
 }
 
-/// A failed answer.
+/// The answer to a failed submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Failure {
-    /// What is known about it.
+    /// Whether any of it may have run.
     pub outcome: Outcome,
-    /// Why.
+    /// Why it failed.
     pub reason: Reason,
-    /// When the caller may try again; `None` when that would not help.
+    /// Time after which the caller may retry; `None` if a retry would not help.
     pub retry_after: Option<Span>,
 }
--- a/components/site/src/zone.rs
+++ b/components/site/src/topology.rs
@@ -9,54 +9,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A data centre.
+/// Settings of a data centre.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DataCentre {
-    /// Unique among the data centres of the site.
+    /// Name, unique among the data centres of the site.
     pub name: CompactString,
-    /// The region, by name.
+    /// Name of the region it is in.
     pub region: CompactString,
 }
 
-/// The network between two data centres.
+/// The network link between two data centres.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Link {
-    /// The two ends; each names a data centre of the site and they differ.
+    /// Names of the two data centres at its ends, which differ.
     pub between: [CompactString; 2],
     /// One-way latency.
     pub latency: Span,
 }
 
-/// Everything that the settings of one installation describe.
+/// All objects that the settings of one installation describe.
 ///
-/// Every reference between its members is resolved; `settings` checks this before a site exists.
+/// Every reference between its members is valid; `settings` checks this before it creates a site.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Site {
-    /// Trade between response time and messages, and the tunables below it.
+    /// The trade-off between response time and number of messages.
     pub policy: Policy,
-    /// By identifier of the name.
+    /// Data centres by identifier.
     pub data_centres: BTreeMap<DataCentreId, DataCentre>,
-    /// At most one for a pair of data centres.
+    /// Links, at most one for each pair of data centres.
     pub links: Vec<Link>,
-    /// By identifier of the name.
+    /// Services by identifier.
     pub services: BTreeMap<ServiceId, Service>,
-    /// By identifier of the name; disjoint from the workers'.
+    /// Executors by identifier; disjoint from the identifiers of workers.
     pub executors: BTreeMap<EndpointId, Executor>,
-    /// By identifier of the name; disjoint from the executors'.
+    /// Workers by identifier; disjoint from the identifiers of executors.
     pub workers: BTreeMap<EndpointId, Worker>,
-    /// By identifier of the name.
+    /// Firms by identifier.
     pub firms: BTreeMap<FirmId, Firm>,
-    /// Which firm may use which service, and how much of it.
+    /// Contracts: which firm may use which service, and with what quota.
     pub contracts: Vec<Contract>,
-    /// Who may change the settings, by identifier of the name.
+    /// Operators, who may change the settings, by identifier.
     pub operators: BTreeMap<OperatorId, Operator>,
 }
 
 impl Site {
-    /// One-way latency between two data centres; zero inside one, `None` without a link.
+    /// Returns the one-way latency between two data centres; zero within one, `None` without a
+    /// link.
     pub fn latency(&self, a: DataCentreId, b: DataCentreId) -> Option<Span> {
         if a == b {
             return Some(Span::ZERO);
--- a/components/site/src/unit.rs
+++ b/components/site/src/unit.rs
@@ -1,4 +1,4 @@
-//! Units: time, sizes and rates.
+//! Units: times, sizes, counts and resources.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
     str::FromStr,
 };
 
-/// Reasons why a text is no quantity.
+/// Error of parsing a quantity.
 #[derive(Clone, Debug, Display, Error, Eq, PartialEq)]
 pub enum ParseError {
     /// The text does not start with a whole number.
@@ -17,7 +17,7 @@
     /// The unit is unknown.
     #[display("unknown unit: expected one of {expected}")]
     Unit {
-        /// The units that are understood.
+        /// The units that are accepted.
         expected: &'static str,
     },
     /// The value does not fit.
@@ -25,7 +25,7 @@
     Range,
 }
 
-/// A moment, in microseconds since an origin that the caller chooses. Never goes backwards.
+/// A point in time, in microseconds since an origin that the caller chooses. Never decreases.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
@@ -33,10 +33,10 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// Later than every moment that occurs.
+    /// Later than any time that occurs.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// Time from `earlier` to here; zero when `earlier` is later.
+    /// Returns the time since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -64,25 +64,25 @@
 pub struct Span(pub u64);
 
 impl Span {
-    /// No time at all.
+    /// A span of zero length.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `ms` milliseconds.
+    /// Returns a span of `ms` milliseconds.
     pub const fn from_millis(ms: u64) -> Span {
         Span(ms * 1_000)
     }
 
-    /// A span of `s` seconds.
+    /// Returns a span of `s` seconds.
     pub const fn from_secs(s: u64) -> Span {
         Span(s * 1_000_000)
     }
 
-    /// Whole milliseconds, rounded up.
+    /// Returns the whole milliseconds, rounded up.
     pub fn as_millis(self) -> u64 {
         self.0.div_ceil(1_000)
     }
 
-    /// Whole seconds, rounded up.
+    /// Returns the whole seconds, rounded up.
     pub fn as_secs(self) -> u64 {
         self.0.div_ceil(1_000_000)
     }
@@ -104,7 +104,7 @@
     }
 }
 
-/// The smallest unit that gives a whole number.
+/// Writes a whole number in the largest unit that allows one.
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
@@ -260,27 +260,27 @@
 }
 
 count!(
-    /// A number of tasks that run, or may run, at one time.
+    /// A number of tasks that run or may run at one time.
     Slots(u32),
     /// A number of accelerators.
     Accelerators(u16),
-    /// A share relative to others of its kind.
+    /// A weight relative to others of the same kind.
     Weight(u32),
-    /// A version of the settings. Only grows.
+    /// A revision of the settings. Only increases.
     Revision(u64),
 );
 
-/// What a task occupies, or an endpoint offers. An executor is measured in slots alone.
+/// Resources that a task occupies or an endpoint offers. Executors are measured only in slots.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Resources {
-    /// Tasks at one time.
+    /// Number of tasks at one time.
     pub slots: Slots,
     /// Processor capacity.
     pub cores: Cores,
     /// Main memory.
     pub memory: Memory,
-    /// Accelerators, whole ones.
+    /// Number of whole accelerators.
     pub accelerators: Accelerators,
 }
 
@@ -293,7 +293,7 @@
         accelerators: Accelerators(0),
     };
 
-    /// Whether `need` fits into these resources.
+    /// Returns whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         self.slots >= need.slots
             && self.cores >= need.cores
@@ -301,13 +301,13 @@
             && self.accelerators >= need.accelerators
     }
 
-    /// These resources with exactly one slot.
-    pub fn with_slot(self) -> Resources {
+    /// Returns these resources with exactly one slot.
+    pub fn with_one_slot(self) -> Resources {
         Resources { slots: Slots(1), ..self }
     }
 
-    /// How many tasks that need `need` fit into these resources together.
-    pub fn count(&self, need: &Resources) -> u32 {
+    /// Returns how many tasks that each need `need` fit into these resources together.
+    pub fn max_tasks(&self, need: &Resources) -> u32 {
         let parts = [
             (u64::from(self.slots.0), u64::from(need.slots.0)),
             (u64::from(self.cores.0), u64::from(need.cores.0)),
@@ -318,7 +318,7 @@
         fits.min().map_or(0, |count| u32::try_from(count).unwrap_or(u32::MAX))
     }
 
-    /// The larger of each.
+    /// Returns the maximum of each resource.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             slots: self.slots.max(other.slots),
@@ -328,7 +328,7 @@
         }
     }
 
-    /// These resources `count` times.
+    /// Returns these resources multiplied by `count`.
     pub fn times(&self, count: u32) -> Resources {
         let wide = u64::from(count);
         let narrow = u16::try_from(count).unwrap_or(u16::MAX);
@@ -340,7 +340,7 @@
         }
     }
 
-    /// These resources and `other` together.
+    /// Returns the sum of these resources and `other`.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             slots: self.slots + other.slots,
@@ -350,7 +350,7 @@
         }
     }
 
-    /// These resources without `other`; never below zero.
+    /// Returns these resources minus `other`; never below zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             slots: self.slots - other.slots,
--- a/components/site/src/worker.rs
+++ b/components/site/src/worker.rs
@@ -1,30 +1,30 @@
-//! Workers: machines that run tasks under leases.
+//! Workers: hosts that run tasks under leases.
 
 use crate::unit::{Accelerators, Cores, Memory};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A worker.
+/// Settings of a worker.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Worker {
-    /// Unique among executors and workers.
+    /// Name, unique among executors and workers.
     pub name: CompactString,
-    /// The data centre it stands in, by name.
+    /// Name of the data centre it is in.
     pub data_centre: CompactString,
-    /// The rack it is mounted in, by name.
+    /// Name of the rack it is mounted in.
     pub rack: CompactString,
-    /// Where it accepts HTTP/1.1 connections.
+    /// Address where it accepts HTTP/1.1 connections.
     pub address: SocketAddr,
     /// Processor capacity.
     pub cores: Cores,
     /// Main memory.
     pub memory: Memory,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: Accelerators,
-    /// Gets no new work when set.
+    /// Whether it is leaving the site, so that it gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/components/telemetry/src/exporter.rs
+++ b/components/telemetry/src/exporter.rs
@@ -1,4 +1,4 @@
-//! Metrics by opentelemetry, rendered as Prometheus text.
+//! OpenTelemetry metrics, rendered in the Prometheus text format.
 
 use derive_more::{Display, Error, From};
 use opentelemetry::metrics::{Meter, MeterProvider};
@@ -8,14 +8,14 @@
 /// Name of the instrumentation scope.
 const SCOPE: &str = "primrosestep";
 
-/// The metrics of one process, or of one entry where a process holds several.
+/// The metrics of one process, or of one entry if a process runs several.
 #[derive(Debug)]
 pub struct Exporter {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
-/// Why metrics can't be collected or rendered.
+/// Error of collecting or rendering metrics.
 #[derive(Debug, Display, Error, From)]
 pub enum MetricsError {
     /// The exporter could not be set up.
@@ -27,7 +27,7 @@
 }
 
 impl Exporter {
-    /// An exporter with a registry of its own.
+    /// Creates an exporter with its own registry.
     pub fn new() -> Result<Exporter, MetricsError> {
         let registry = Registry::new();
         let reader = opentelemetry_prometheus::exporter()
@@ -40,12 +40,12 @@
         Ok(Exporter { registry, provider })
     }
 
-    /// Makes instruments.
+    /// Returns a meter, which creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter(SCOPE)
     }
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<String, MetricsError> {
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
 //! Logs and metrics of a process.
 //!
-//! Log lines are JSON objects, one a line. Callers never wait for the output: lines go through a
-//! bounded channel to a writer thread, and what does not fit is dropped and counted. Metrics are
-//! collected by opentelemetry and rendered as Prometheus text.
+//! Log lines are JSON objects, one per line. Callers never wait for the output: lines go through a
+//! bounded channel to a writer thread, and lines that don't fit are dropped and counted. Metrics
+//! are collected by OpenTelemetry and rendered in the Prometheus text format.
 
 mod exporter;
 mod line;
@@ -10,5 +10,5 @@
 mod names;
 
 pub use exporter::{Exporter, MetricsError};
-pub use log::{Format, Guard, Level, Log, LogError, start, start_bounded};
+pub use log::{Format, Guard, Level, Log, LogError, start, start_with_capacity};
 pub use names::Names;
--- a/components/telemetry/src/line.rs
+++ b/components/telemetry/src/line.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a decision.
+//! Renders a decision as a JSON log line.
 
 use crate::Names;
 use dispatch::Decision;
@@ -14,10 +14,11 @@
     time::{FormatTime, SystemTime},
 };
 
-/// Target under which decisions are logged.
+/// Log target of decisions.
 const TARGET: &str = "decision";
 
-/// One line, without its end, in the form of the other log lines. `at` is the process's clock.
+/// Returns one line without its line feed, in the form of the other log lines. `at` is by the clock
+/// of the process.
 pub(crate) fn render(decision: &Decision, at: Time, names: &Names) -> String {
     let mut fields = match serde_json::to_value(decision) {
         Ok(Value::Object(fields)) => fields,
@@ -42,14 +43,14 @@
     json!({ "timestamp": now(), "level": "INFO", "fields": fields, "target": TARGET }).to_string()
 }
 
-fn text<I: DeserializeOwned, T: Display>(value: &Value, show: impl Fn(I) -> T) -> Option<Value> {
+fn text<I: DeserializeOwned, T: Display>(value: &Value, display: impl Fn(I) -> T) -> Option<Value> {
     let id = from_value(value.clone()).ok()?;
-    Some(Value::String(show(id).to_string()))
+    Some(Value::String(display(id).to_string()))
 }
 
 fn now() -> String {
     let mut text = String::new();
-    // Writing into a string does not fail.
+    // Writing to a string does not fail.
     let _ = SystemTime.format_time(&mut Writer::new(&mut text));
     text
 }
--- a/components/telemetry/src/log.rs
+++ b/components/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: a bounded channel and a writer thread.
+//! The log: a bounded channel to a writer thread.
 
 use crate::{Names, line};
 use derive_more::{Display, Error, From};
@@ -22,52 +22,52 @@
 };
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that may wait for the writer.
+/// Maximum number of lines that are queued for the writer.
 const CAPACITY: usize = 16 * 1024;
 
-/// Time between batches. While the writer pauses, handing in a line wakes no thread, and lines
-/// leave with one write for all.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Pause of the writer between batches. During the pause, sending a line wakes no thread, and the
+/// lines of a batch share one write.
+const BATCH_PAUSE: Duration = Duration::from_millis(5);
 
-/// The least severe lines that are written.
+/// Minimum severity of the lines that are written.
 #[derive(
     Clone, Copy, Debug, Default, Display, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Level {
-    /// Nothing.
+    /// No lines.
     Off,
-    /// What needs a person.
+    /// Problems that require an operator.
     Error,
-    /// What may need a person.
+    /// Problems that may require an operator.
     Warn,
     /// Changes of state, and each routing or placement decision.
     #[default]
     Info,
     /// Details of connections and calls.
     Debug,
-    /// Everything.
+    /// All lines.
     Trace,
 }
 
-/// How lines other than decisions are written; decisions are always JSON.
+/// Format of lines other than decisions; decisions are always JSON.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Format {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
     /// Plain text.
     Text,
 }
 
-/// Why the log can't be started.
+/// Error of starting the log.
 #[derive(Debug, Display, Error, From)]
 pub enum LogError {
     /// The writer thread could not be started.
     #[display("cannot start the log's writer thread: {_0}")]
     Thread(io::Error),
-    /// The process already logs elsewhere.
+    /// The process already has a global log.
     #[display("the process already has a log: {_0}")]
     Taken(SetGlobalDefaultError),
 }
@@ -79,7 +79,7 @@
     Stop,
 }
 
-/// Where lines are handed in. Cheap to clone.
+/// Handle that sends lines to the writer. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Log {
     lines: SyncSender<Line>,
@@ -87,7 +87,7 @@
     level: Level,
 }
 
-/// Ends the writer thread when dropped, after it has written what was handed in before.
+/// Ends the writer thread when dropped, after it has written all lines that were sent before.
 #[derive(Debug)]
 pub struct Guard {
     lines: SyncSender<Line>,
@@ -96,11 +96,11 @@
 
 /// Starts the writer thread on `output`.
 pub fn start(output: impl Write + Send + 'static, level: Level) -> Result<(Log, Guard), LogError> {
-    start_bounded(output, level, CAPACITY)
+    start_with_capacity(output, level, CAPACITY)
 }
 
-/// Starts the writer thread on `output`. At most `capacity` lines wait for it.
-pub fn start_bounded(
+/// Starts the writer thread on `output`. At most `capacity` lines are queued for it.
+pub fn start_with_capacity(
     output: impl Write + Send + 'static,
     level: Level,
     capacity: usize,
@@ -114,15 +114,15 @@
 }
 
 impl Log {
-    /// Logs a decision made at `at`. Never waits.
-    pub fn decide(&self, at: Time, decision: Decision) {
+    /// Logs a decision made at `at`. Never blocks.
+    pub fn log_decision(&self, at: Time, decision: Decision) {
         if self.level >= Level::Info {
             self.send(Line::Decision(at, decision));
         }
     }
 
-    /// Writes a line of JSON. Never waits.
-    pub fn json(&self, line: &impl Serialize) {
+    /// Writes a value as a line of JSON. Never blocks.
+    pub fn write_json(&self, line: &impl Serialize) {
         match serde_json::to_vec(line) {
             Ok(mut text) => {
                 text.push(b'\n');
@@ -132,17 +132,17 @@
         }
     }
 
-    /// Replaces the names that later decisions are written with.
-    pub fn rename(&self, names: Names) {
+    /// Sets the names that later decision lines show for identifiers.
+    pub fn set_names(&self, names: Names) {
         self.send(Line::Names(Arc::new(names)));
     }
 
-    /// Lines that were dropped since the start.
+    /// Returns the number of lines that were dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// A subscriber that writes `tracing` events to this log.
+    /// Returns a subscriber that writes `tracing` events to this log.
     pub fn subscriber(&self) -> impl Subscriber + Send + Sync + use<> {
         tracing_subscriber::fmt()
             .json()
@@ -151,7 +151,7 @@
             .finish()
     }
 
-    /// Makes this the log of the whole process.
+    /// Installs this log as the global log of the process.
     pub fn install(&self, format: Format) -> Result<(), LogError> {
         let level = self.level.filter();
         let plain = tracing_subscriber::fmt().with_max_level(level).with_writer(self.clone());
@@ -185,7 +185,7 @@
     }
 }
 
-/// One event's text; `tracing` hands it over in one write.
+/// Receives the text of one event; `tracing` passes it in one write.
 impl Write for Log {
     fn write(&mut self, text: &[u8]) -> io::Result<usize> {
         self.send(Line::Text(text.to_vec()));
@@ -207,7 +207,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        // Waits for room, unlike the lines themselves: the process is ending.
+        // Waits until the channel has capacity, unlike log lines, since the process is ending.
         let _ = self.lines.send(Line::Stop);
         if let Some(writer) = self.writer.take() {
             let _ = writer.join();
@@ -221,7 +221,7 @@
     while let Ok(first) = received.recv() {
         let batch = std::iter::once(first).chain(received.try_iter().take(CAPACITY));
         for line in batch {
-            // A log that can't be written must not stop the process.
+            // A failed write of the log must not stop the process.
             let _ = match line {
                 Line::Text(text) => output.write_all(&text),
                 Line::Decision(at, decision) => {
@@ -238,6 +238,6 @@
             };
         }
         let _ = output.flush();
-        thread::sleep(PAUSE);
+        thread::sleep(BATCH_PAUSE);
     }
 }
--- a/components/telemetry/src/names.rs
+++ b/components/telemetry/src/names.rs
@@ -1,4 +1,4 @@
-//! Names behind identifiers, for log lines.
+//! Names of objects by identifier, for log lines.
 
 use compact_str::CompactString;
 use site::{
@@ -9,8 +9,8 @@
 
 /// Names of a site's objects by identifier.
 ///
-/// Identifiers are hashes of names over one number space and `settings` rejects collisions inside
-/// a kind, so each kind keeps a map of its own.
+/// Identifiers are hashes of names, and `settings` rejects collisions only within a kind of object,
+/// so each kind has its own map.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     data_centres: HashMap<u64, CompactString>,
@@ -20,7 +20,7 @@
 }
 
 impl Names {
-    /// The names in `site`.
+    /// Returns the names of the objects in `site`.
     pub fn of(site: &Site) -> Names {
         let executors = site.executors.iter().map(|(id, e)| (id.0, e.name.clone()));
         let workers = site.workers.iter().map(|(id, w)| (id.0, w.name.clone()));
@@ -32,28 +32,28 @@
         }
     }
 
-    /// The name of a data centre.
+    /// Returns the name of a data centre.
     pub fn data_centre(&self, id: DataCentreId) -> CompactString {
         find(&self.data_centres, id.0)
     }
 
-    /// The name of an executor or a worker.
+    /// Returns the name of an executor or a worker.
     pub fn endpoint(&self, id: EndpointId) -> CompactString {
         find(&self.endpoints, id.0)
     }
 
-    /// The name of a firm.
+    /// Returns the name of a firm.
     pub fn firm(&self, id: FirmId) -> CompactString {
         find(&self.firms, id.0)
     }
 
-    /// The name of a service.
+    /// Returns the name of a service.
     pub fn service(&self, id: ServiceId) -> CompactString {
         find(&self.services, id.0)
     }
 }
 
-/// The name, or the identifier in hexadecimal when the settings no longer hold it.
+/// Returns the name, or the identifier in hexadecimal if the settings no longer contain it.
 fn find(names: &HashMap<u64, CompactString>, id: u64) -> CompactString {
     names.get(&id).cloned().unwrap_or_else(|| compact_str::format_compact!("{id:x}"))
 }
--- a/components/telemetry/tests/log.rs
+++ b/components/telemetry/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log never blocks its callers and says what it drops.
+//! The log never blocks its callers, counts dropped lines and shows names for identifiers.
 
 use dispatch::Decision;
 use serde_json::Value;
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn decision_lines_carry_names() {
+fn decision_lines_show_names() {
     let buffer = Buffer::default();
     let (log, guard) = telemetry::start(buffer.clone(), Level::Info).unwrap();
     let firm = FirmId::of("masons");
     let mut site = Site::default();
     let member: Firm = serde_json::from_str(r#"{"name": "masons"}"#).unwrap();
     site.firms.insert(firm, member);
-    log.rename(Names::of(&site));
+    log.set_names(Names::of(&site));
     let failure = site::submission::Failure {
         outcome: site::submission::Outcome::NotRun,
         reason: site::submission::Reason::Quota,
         retry_after: None,
     };
-    log.decide(Time(7), Decision::Refuse { id: SubmissionId::default(), firm, failure });
+    log.log_decision(Time(7), Decision::Refuse { id: SubmissionId::default(), firm, failure });
     drop(guard);
     let lines = buffer.lines();
     assert_eq!(lines.len(), 1);
@@ -85,7 +85,7 @@
         tracing::info!("not written");
         tracing::warn!(code = 3, "written");
     });
-    log.decide(Time(1), forward());
+    log.log_decision(Time(1), forward());
     drop(guard);
     let lines = buffer.lines();
     assert_eq!(lines.len(), 1);
@@ -93,16 +93,16 @@
 }
 
 #[test]
-fn a_blocked_output_drops_and_counts() {
-    let (hold, blocked) = mpsc::channel();
+fn lines_are_dropped_and_counted_while_the_output_blocks() {
+    let (unblock, blocked) = mpsc::channel();
     let (log, guard) = telemetry::start(Blocked(blocked), Level::Info).unwrap();
-    let handed_in = 100_000;
-    for _ in 0..handed_in {
-        log.decide(Time(1), forward());
+    let sent = 100_000;
+    for _ in 0..sent {
+        log.log_decision(Time(1), forward());
     }
     assert!(log.dropped() > 0);
-    assert!(log.dropped() < handed_in);
-    drop(hold);
+    assert!(log.dropped() < sent);
+    drop(unblock);
     drop(guard);
 }
 
--- a/components/timer/src/lib.rs
+++ b/components/timer/src/lib.rs
@@ -1,11 +1,11 @@
-//! Timers that share one.
+//! Timers that share one timer of the event loop.
 //!
-//! Setting a timer of `smol` wakes its event loop, and each timer that is due wakes it again. An entry
-//! sets two for each order and one or two for each packet, nearly all of which are moved or dropped
-//! before they are due. The timers here are kept in a table that is looked at once in [`TICK`], so
-//! that setting, moving and dropping one costs no system call. They are late by up to a tick and never
-//! early. A profile of 16 entries at 11 jobs a second each has 7,264 samples in 10 s with them, and 9,467
-//! with a timer of `smol` for each.
+//! Setting a timer of `smol` wakes its event loop, and each timer that expires wakes it again. An
+//! entry sets two for each order and one or two for each packet, and resets or drops nearly all of
+//! them before they expire. The timers here are kept in a table that is checked every
+//! [`TICK_INTERVAL`], so that setting, resetting and dropping one costs no system call. They
+//! complete up to one tick late and never early. A profile of 16 entries at 11 jobs a second each
+//! has 7,264 samples in 10 s with this table, and 9,467 with a timer of `smol` for each.
 
 mod table;
 
@@ -17,28 +17,29 @@
 };
 use table::{Key, TABLE};
 
-/// How often due timers are looked for. A quarter of the shortest time limit that is kept by them,
-/// the 25 ms of a delayed acknowledgement aside, which may well come together with the next one.
-pub const TICK: Duration = Duration::from_millis(20);
+/// Interval at which the table is checked for expired timers. A quarter of the shortest timeout
+/// that uses them, except for the 25 ms of a delayed acknowledgement, which may be sent with the
+/// next one.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A moment to wait for. Completes at the first tick after it.
+/// A timer. Completes at the first tick after its deadline.
 #[derive(Debug)]
 pub struct Deadline {
     at: Instant,
-    /// Its place in the table while it is waited for.
+    /// Its key in the table while a task waits for it.
     key: Option<Key>,
 }
 
 impl Deadline {
-    /// The first tick after a moment.
+    /// Creates a timer that completes at the first tick after `at`.
     pub fn at(at: Instant) -> Self {
         Self { at, key: None }
     }
 
-    /// Moves it. May be done while it is waited for, and after it has completed.
-    pub fn set(&mut self, at: Instant) {
+    /// Resets the deadline. Allowed while a task waits for the timer, and after it has completed.
+    pub fn reset(&mut self, at: Instant) {
         self.at = at;
-        self.key = self.key.take().and_then(|key| TABLE.shift(key, at));
+        self.key = self.key.take().and_then(|key| TABLE.reschedule(key, at));
     }
 }
 
@@ -50,7 +51,7 @@
             self.key = Some(TABLE.insert(self.at, context.waker()));
             return Poll::Pending;
         };
-        if TABLE.wake_with(key, context.waker()) {
+        if TABLE.set_waker(key, context.waker()) {
             return Poll::Pending;
         }
         self.key = None;
@@ -66,12 +67,12 @@
     }
 }
 
-/// Completes at the first tick after a time.
+/// Returns a timer that completes at the first tick after `span`.
 pub fn after(span: Duration) -> Deadline {
     Deadline::at(Instant::now() + span)
 }
 
-/// Completes at the next tick.
-pub fn tick() -> Deadline {
+/// Returns a timer that completes at the next tick.
+pub fn next_tick() -> Deadline {
     after(Duration::ZERO)
 }
--- a/components/timer/src/table.rs
+++ b/components/timer/src/table.rs
@@ -1,25 +1,25 @@
-//! The timers of the process that are waited for.
+//! The table of all timers of the process that a task waits for.
 
-use crate::TICK;
+use crate::TICK_INTERVAL;
 use parking_lot::Mutex;
 use smol::Timer;
 use std::{collections::BTreeMap, task::Waker, time::Instant};
 
-/// A timer's place: when it is due, and a number that no other timer has.
+/// Key of a timer: its deadline and a unique number.
 pub(crate) type Key = (Instant, u64);
 
-/// All timers of the process that are waited for.
+/// All timers of the process that a task waits for.
 pub(crate) static TABLE: Table =
-    Table(Mutex::new(State { timers: BTreeMap::new(), next: 0, is_driven: false }));
+    Table(Mutex::new(State { timers: BTreeMap::new(), next: 0, is_running: false }));
 
-/// Timers that are waited for.
+/// Timers that a task waits for, by key.
 pub(crate) struct Table(Mutex<State>);
 
 struct State {
     timers: BTreeMap<Key, Waker>,
     next: u64,
-    /// A task looks for due timers. It ends when there are none.
-    is_driven: bool,
+    /// Whether a task checks for expired timers. The task ends when there are no timers.
+    is_running: bool,
 }
 
 impl Table {
@@ -28,23 +28,23 @@
         let key = (at, state.next);
         state.next += 1;
         state.timers.insert(key, waker.clone());
-        if !state.is_driven {
-            state.is_driven = true;
-            smol::spawn(self.drive()).detach();
+        if !state.is_running {
+            state.is_running = true;
+            smol::spawn(self.run_ticks()).detach();
         }
         key
     }
 
-    /// Whom to wake; returns whether the timer still waits.
-    pub(crate) fn wake_with(&self, key: Key, waker: &Waker) -> bool {
+    /// Sets the waker of a timer. Returns whether the timer is still in the table.
+    pub(crate) fn set_waker(&self, key: Key, waker: &Waker) -> bool {
         let mut state = self.0.lock();
-        let Some(kept) = state.timers.get_mut(&key) else { return false };
-        kept.clone_from(waker);
+        let Some(current) = state.timers.get_mut(&key) else { return false };
+        current.clone_from(waker);
         true
     }
 
-    /// Moves a timer; `None` if it was due already.
-    pub(crate) fn shift(&self, (old, number): Key, at: Instant) -> Option<Key> {
+    /// Changes the deadline of a timer; `None` if it has already expired.
+    pub(crate) fn reschedule(&self, (old, number): Key, at: Instant) -> Option<Key> {
         let mut state = self.0.lock();
         let waker = state.timers.remove(&(old, number))?;
         state.timers.insert((at, number), waker);
@@ -55,19 +55,19 @@
         self.0.lock().timers.remove(&key);
     }
 
-    async fn drive(&self) {
+    async fn run_ticks(&self) {
         loop {
-            Timer::after(TICK).await;
-            let Some(due) = self.take_due(Instant::now()) else { return };
+            Timer::after(TICK_INTERVAL).await;
+            let Some(due) = self.take_expired(Instant::now()) else { return };
             due.into_iter().for_each(Waker::wake);
         }
     }
 
-    /// The timers that are due; `None` once there are none at all.
-    fn take_due(&self, now: Instant) -> Option<Vec<Waker>> {
+    /// Removes and returns the expired timers; `None` if the table is empty.
+    fn take_expired(&self, now: Instant) -> Option<Vec<Waker>> {
         let mut state = self.0.lock();
         if state.timers.is_empty() {
-            state.is_driven = false;
+            state.is_running = false;
             return None;
         }
         let later = state.timers.split_off(&(now, u64::MAX));
--- a/components/timer/tests/order.rs
+++ b/components/timer/tests/order.rs
@@ -1,16 +1,16 @@
-//! Timers complete in order, never early, and only while they are waited for.
+//! Timers complete in order and never early, and can be reset and moved to another task.
 
 use smol::{block_on, future, lock::Mutex};
 use std::{
     sync::Arc,
     time::{Duration, Instant},
 };
-use timer::{Deadline, after, tick};
+use timer::{Deadline, after, next_tick};
 
 const FAR: Duration = Duration::from_secs(3_600);
 
 #[test]
-fn none_completes_early() {
+fn no_timer_completes_early() {
     for ms in [0, 1, 19, 20, 21, 55] {
         let span = Duration::from_millis(ms);
         let begun = Instant::now();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_earlier_one_completes_first() {
+fn timers_complete_in_the_order_of_their_deadlines() {
     let order = Arc::new(Mutex::new(Vec::new()));
     let wait = |name, ms| {
         let order = order.clone();
@@ -39,35 +39,35 @@
 }
 
 #[test]
-fn one_that_is_moved_completes_by_its_new_moment() {
+fn a_timer_reset_to_an_earlier_time_completes_then() {
     let mut far = Deadline::at(Instant::now() + FAR);
     block_on(async {
         assert!(future::poll_once(&mut far).await.is_none());
-        far.set(Instant::now());
+        far.reset(Instant::now());
         (&mut far).await;
-        // It may be used again.
+        // It can be reset after it has completed.
         let at = Instant::now() + Duration::from_millis(30);
-        far.set(at);
+        far.reset(at);
         far.await;
         assert!(Instant::now() >= at);
     });
 }
 
 #[test]
-fn one_that_is_moved_away_does_not_complete() {
-    let mut near = tick();
+fn a_timer_reset_to_a_later_time_does_not_complete() {
+    let mut near = next_tick();
     block_on(async {
         assert!(future::poll_once(&mut near).await.is_none());
-        near.set(Instant::now() + FAR);
-        // Several ticks.
+        near.reset(Instant::now() + FAR);
+        // Several tick intervals.
         after(Duration::from_millis(60)).await;
         assert!(future::poll_once(&mut near).await.is_none());
     });
 }
 
 #[test]
-fn a_task_that_takes_a_timer_over_is_woken() {
-    let mut moved = tick();
+fn a_timer_wakes_the_task_that_it_was_moved_to() {
+    let mut moved = next_tick();
     block_on(async {
         assert!(future::poll_once(&mut moved).await.is_none());
     });
--- a/components/wire/benches/fuzz.rs
+++ b/components/wire/benches/fuzz.rs
@@ -1,7 +1,7 @@
-//! Decodes hostile bytes and counts what became of them: `cargo bench -p wire --bench fuzz`.
+//! Decodes malformed bytes and counts the results: `cargo bench -p wire --bench fuzz`.
 //!
-//! The cases are arbitrary bytes, and frames of every kind that were cut, changed, lengthened or
-//! joined with another. `CASES` and `SEED` in the environment override the defaults.
+//! The cases are arbitrary bytes, and frames of every kind that were truncated, mutated, extended
+//! or concatenated with another. `CASES` and `SEED` in the environment override the defaults.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -16,7 +16,7 @@
 const SEED: u64 = 1;
 
 fn main() {
-    let (cases, seed) = (setting("CASES", CASES), setting("SEED", SEED));
+    let (cases, seed) = (env_or_default("CASES", CASES), env_or_default("SEED", SEED));
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut counts = BTreeMap::<&str, u64>::new();
     let (mut total, started) = (0, Instant::now());
@@ -29,7 +29,7 @@
     counts.iter().for_each(|(outcome, count)| println!("{count:>10}  {outcome}"));
 }
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_or_default(name: &str, default: u64) -> u64 {
     env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
 }
 
@@ -37,10 +37,10 @@
     match rng.random_range(0..8) {
         0 => arbitrary(rng),
         1 => framed(&arbitrary(rng)),
-        2 => cut(rng),
-        3 => lengthened(rng),
-        4 => joined(rng),
-        _ => changed(rng),
+        2 => truncated(rng),
+        3 => extended(rng),
+        4 => concatenated(rng),
+        _ => mutated(rng),
     }
 }
 
@@ -54,7 +54,7 @@
     [&length.to_le_bytes(), &[wire::VERSION][..], body].concat()
 }
 
-fn whole(rng: &mut ChaCha8Rng) -> Vec<u8> {
+fn valid_frame(rng: &mut ChaCha8Rng) -> Vec<u8> {
     let kind = rng.random_range(0..common::KINDS);
     let message = common::message(kind, rng.random());
     assert_eq!(common::kind(&message), kind);
@@ -63,27 +63,27 @@
     bytes
 }
 
-fn cut(rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let mut bytes = whole(rng);
+fn truncated(rng: &mut ChaCha8Rng) -> Vec<u8> {
+    let mut bytes = valid_frame(rng);
     bytes.truncate(rng.random_range(0..bytes.len()));
-    let body = bytes.get(frame::PREFIX + 1..).unwrap_or_default();
+    let body = bytes.get(frame::PREFIX_BYTES + 1..).unwrap_or_default();
     if rng.random() { framed(body) } else { bytes }
 }
 
-fn lengthened(rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let bytes = whole(rng);
+fn extended(rng: &mut ChaCha8Rng) -> Vec<u8> {
+    let bytes = valid_frame(rng);
     let extra = arbitrary(rng);
-    framed(&[&bytes[frame::PREFIX + 1..], &extra].concat())
+    framed(&[&bytes[frame::PREFIX_BYTES + 1..], &extra].concat())
 }
 
-fn joined(rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let (mut first, second) = (whole(rng), whole(rng));
+fn concatenated(rng: &mut ChaCha8Rng) -> Vec<u8> {
+    let (mut first, second) = (valid_frame(rng), valid_frame(rng));
     first.truncate(rng.random_range(0..=first.len()));
     [first, second].concat()
 }
 
-fn changed(rng: &mut ChaCha8Rng) -> Vec<u8> {
-    let mut bytes = whole(rng);
+fn mutated(rng: &mut ChaCha8Rng) -> Vec<u8> {
+    let mut bytes = valid_frame(rng);
     for _ in 0..rng.random_range(1..6) {
         let place = rng.random_range(0..bytes.len());
         bytes[place] = rng.random();
--- a/components/wire/src/decoder.rs
+++ b/components/wire/src/decoder.rs
@@ -1,38 +1,38 @@
-//! Frames from a stream of bytes.
+//! Decodes frames from a byte stream.
 
 use crate::{
     Error, Frame,
-    frame::{Limit, PREFIX},
+    frame::{Limit, PREFIX_BYTES},
 };
 use serde::de::DeserializeOwned;
 
-/// Takes frames out of bytes that arrive in pieces of any size.
+/// Decodes frames from bytes that arrive in chunks of any size.
 ///
-/// Holds what was fed and not yet taken: less than one frame when frames are taken after each
-/// feed. An error is final, since the start of the next frame can't be known.
+/// Buffers the bytes that were fed and not yet decoded: less than one frame if all whole frames are
+/// taken after each feed. An error is final, since the start of the next frame is then unknown.
 #[derive(Debug, Default)]
 pub struct Decoder {
     limit: Limit,
     buffer: Vec<u8>,
-    /// Bytes of `buffer` that are taken already; at most its length.
+    /// Number of bytes of `buffer` that are already decoded; at most its length.
     taken: usize,
     failed: Option<Error>,
 }
 
 impl Decoder {
-    /// A decoder that accepts frames up to `limit`.
+    /// Creates a decoder that accepts frames up to `limit`.
     pub fn new(limit: Limit) -> Self {
         Self { limit, ..Self::default() }
     }
 
-    /// Adds bytes that arrived.
+    /// Appends bytes that arrived.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.taken);
         self.taken = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, or `None` until more bytes arrive.
+    /// Removes and returns the next whole frame; `None` if more bytes are needed.
     pub fn take<M: DeserializeOwned>(&mut self) -> Result<Option<Frame<M>>, Error> {
         if let Some(error) = self.failed {
             return Err(error);
@@ -42,7 +42,7 @@
         result
     }
 
-    /// Checks that the stream may end here.
+    /// Returns an error if the stream ends inside a frame or has failed before.
     pub fn finish(&self) -> Result<(), Error> {
         match self.failed {
             Some(error) => Err(error),
@@ -51,13 +51,14 @@
         }
     }
 
-    /// Bytes that were fed and not taken.
+    /// Returns the number of bytes that were fed and not yet decoded.
     pub fn pending(&self) -> usize {
         self.buffer.len() - self.taken
     }
 
     fn decode<M: DeserializeOwned>(&mut self) -> Result<Option<Frame<M>>, Error> {
-        let Some((prefix, rest)) = self.buffer[self.taken..].split_first_chunk::<PREFIX>() else {
+        let Some((prefix, rest)) = self.buffer[self.taken..].split_first_chunk::<PREFIX_BYTES>()
+        else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*prefix) as usize;
@@ -66,7 +67,7 @@
             return Ok(None);
         };
         let frame = Frame::decode(bytes)?;
-        self.taken += PREFIX + length;
+        self.taken += PREFIX_BYTES + length;
         Ok(Some(frame))
     }
 }
--- a/components/wire/src/error.rs
+++ b/components/wire/src/error.rs
@@ -1,34 +1,34 @@
-//! Why bytes are no frame, or a message fits in none.
+//! Errors of encoding and decoding frames.
 
 use derive_more::{Display, Error};
 
-/// Why bytes are no frame, or a message fits in none.
+/// Error of encoding or decoding a frame.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum Error {
-    /// The sender speaks another version of the protocol.
+    /// The sender uses another version of the protocol.
     #[display("protocol version {got} instead of {}", crate::VERSION)]
     Version {
-        /// What the frame says.
+        /// Version in the frame.
         got: u8,
     },
     /// The frame is longer than the limit.
     #[display("a frame of {length} bytes is longer than the limit of {limit}")]
     TooLarge {
-        /// Length without the prefix, as claimed or as encoded.
+        /// Length in bytes without the prefix, as claimed or as encoded.
         length: usize,
-        /// The limit.
+        /// The limit in bytes.
         limit: usize,
     },
     /// The bytes end before the message does.
     #[display("the frame ends before its message does")]
     Truncated,
-    /// The body is no encoded message.
-    #[display("the frame's body is no message")]
+    /// The body is not a valid encoded message.
+    #[display("the frame's body is not a valid message")]
     Malformed,
     /// Bytes follow the message inside its frame.
     #[display("{extra} bytes follow the message inside its frame")]
     Trailing {
-        /// How many.
+        /// Number of extra bytes.
         extra: usize,
     },
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,46 +1,47 @@
-//! One frame.
+//! Encoding and decoding of a single frame.
 
 use crate::Error;
 use derive_more::{Display, Error as StdError};
 use dispatch::Message;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Version of the protocol that this build speaks.
+/// Version of the protocol that this build uses.
 pub const VERSION: u8 = 1;
 
-/// Longest frame that any limit allows, in bytes without the prefix.
-pub const MAX_FRAME: usize = 4 << 20;
+/// Maximum frame size that a limit can allow, in bytes without the prefix.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Length of the prefix, in bytes.
-pub const PREFIX: usize = 4;
+/// Size of the length prefix in bytes.
+pub const PREFIX_BYTES: usize = 4;
 
-/// Longest frame that is sent or accepted, in bytes without the prefix; at most [`MAX_FRAME`].
+/// Maximum size of a frame that is sent or accepted, in bytes without the prefix; at most
+/// [`MAX_FRAME_BYTES`].
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Limit(usize);
 
-/// A limit that is not between 1 and [`MAX_FRAME`].
+/// Error for a limit that is not between 1 and [`MAX_FRAME_BYTES`].
 #[derive(Clone, Copy, Debug, Display, StdError, Eq, PartialEq)]
-#[display("a frame limit of {limit} bytes is not between 1 and {MAX_FRAME}")]
-pub struct BadLimit {
-    /// What was asked for.
+#[display("a frame limit of {limit} bytes is not between 1 and {MAX_FRAME_BYTES}")]
+pub struct LimitError {
+    /// The requested limit in bytes.
     pub limit: usize,
 }
 
 impl Limit {
-    /// A limit of `bytes`.
-    pub fn new(bytes: usize) -> Result<Self, BadLimit> {
+    /// Creates a limit of `bytes`.
+    pub fn new(bytes: usize) -> Result<Self, LimitError> {
         match bytes {
-            1..=MAX_FRAME => Ok(Self(bytes)),
-            limit => Err(BadLimit { limit }),
+            1..=MAX_FRAME_BYTES => Ok(Self(bytes)),
+            limit => Err(LimitError { limit }),
         }
     }
 
-    /// The limit in bytes.
+    /// Returns the limit in bytes.
     pub fn bytes(self) -> usize {
         self.0
     }
 
-    /// Whether a frame of `length` bytes may pass.
+    /// Returns an error if a frame of `length` bytes exceeds the limit.
     pub fn check(self, length: usize) -> Result<(), Error> {
         if length > self.0 {
             return Err(Error::TooLarge { length, limit: self.0 });
@@ -51,35 +52,35 @@
 
 impl Default for Limit {
     fn default() -> Self {
-        Self(MAX_FRAME)
+        Self(MAX_FRAME_BYTES)
     }
 }
 
-/// A message with the version of the protocol that it is written in.
+/// A message with the protocol version of its encoding.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Frame<M = Message> {
     /// Always [`VERSION`] after decoding.
     pub version: u8,
-    /// What is said.
+    /// The message.
     pub message: M,
 }
 
 impl<M> Frame<M> {
-    /// A frame in the version that this build speaks.
+    /// Creates a frame of the protocol version of this build.
     pub fn new(message: M) -> Self {
         Self { version: VERSION, message }
     }
 }
 
 impl<M: Serialize> Frame<M> {
-    /// Appends the encoded frame to `bytes`, which stays as it was on an error.
+    /// Appends the encoded frame to `bytes`. On an error, `bytes` is unchanged.
     pub fn encode(&self, limit: Limit, bytes: &mut Vec<u8>) -> Result<(), Error> {
         encode(self.version, &self.message, limit, bytes)
     }
 }
 
 impl<M: DeserializeOwned> Frame<M> {
-    /// Decodes what follows the prefix of one frame.
+    /// Decodes the bytes of one frame that follow its prefix.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         let (&version, body) = bytes.split_first().ok_or(Error::Truncated)?;
         if version != VERSION {
@@ -93,8 +94,8 @@
     }
 }
 
-/// Appends a frame in the version that this build speaks to `bytes`, which stays as it was on an
-/// error.
+/// Appends a frame of the protocol version of this build to `bytes`. On an error, `bytes` is
+/// unchanged.
 pub fn append<M: Serialize>(message: &M, limit: Limit, bytes: &mut Vec<u8>) -> Result<(), Error> {
     encode(VERSION, message, limit, bytes)
 }
@@ -109,20 +110,20 @@
     limit.check(length)?;
     let prefix = u32::try_from(length).map_err(|_| Error::TooLarge { length, limit: limit.0 })?;
     let start = bytes.len();
-    bytes.reserve(PREFIX + length);
+    bytes.reserve(PREFIX_BYTES + length);
     bytes.extend_from_slice(&prefix.to_le_bytes());
     bytes.push(version);
-    let written = postcard::to_extend(message, Tail(bytes)).map(|_| ());
+    let written = postcard::to_extend(message, Appender(bytes)).map(|_| ());
     written.map_err(|error| {
         bytes.truncate(start);
         Error::from(error)
     })
 }
 
-/// The end of a buffer, for postcard to write to.
-struct Tail<'a>(&'a mut Vec<u8>);
+/// Adapter through which postcard appends to a buffer.
+struct Appender<'a>(&'a mut Vec<u8>);
 
-impl Extend<u8> for Tail<'_> {
+impl Extend<u8> for Appender<'_> {
     fn extend<I: IntoIterator<Item = u8>>(&mut self, bytes: I) {
         self.0.extend(bytes);
     }
--- a/components/wire/src/hello.rs
+++ b/components/wire/src/hello.rs
@@ -1,17 +1,17 @@
-//! The first frame of a connection in each direction.
+//! The first frame of a connection in each direction, which identifies the sender.
 
 use serde::{Deserialize, Serialize};
 use site::id::Home;
 use std::net::SocketAddr;
 
-/// Most addresses that a hello may carry.
+/// Maximum number of addresses in a hello.
 pub const MAX_ADDRESSES: usize = 8;
 
-/// Says who opened or accepted a connection.
+/// Identifies the entry that opened or accepted a connection.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The sender. Its entry must be the one that the sender's certificate names.
+    /// Home of the sender. Its entry must be the one in the sender's certificate.
     pub home: Home,
-    /// Where the sender accepts connections; at most [`MAX_ADDRESSES`].
+    /// Addresses where the sender accepts connections; at most [`MAX_ADDRESSES`].
     pub addresses: Vec<SocketAddr>,
 }
--- a/components/wire/tests/common/mod.rs
+++ b/components/wire/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Messages made from a seed, for the tests and the fuzzing bench of this crate.
+//! Messages generated from a seed, for the tests and the fuzzing bench of this crate.
 
 use bytes::Bytes;
 use dispatch::{
@@ -21,10 +21,11 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Kinds of messages; `kind` is below this.
+/// Number of kinds of messages; `kind` is below this.
 pub(crate) const KINDS: usize = 17;
 
-/// Numbers the kinds. A new kind needs a number here and a case in [`message`].
+/// Returns the number of a message's kind. A new kind needs a number here and a case in
+/// [`message`].
 pub(crate) fn kind(message: &Message) -> usize {
     match message {
         Message::Submit { .. } => 0,
@@ -47,7 +48,7 @@
     }
 }
 
-/// The message of a kind that a seed stands for.
+/// Returns a message of the given kind that is generated from the seed.
 pub(crate) fn message(kind: usize, seed: u64) -> Message {
     let rng = &mut ChaCha8Rng::seed_from_u64(seed);
     let (request, id, firm) = (number(rng), submission_id(rng), FirmId(number(rng)));
@@ -74,7 +75,7 @@
 
 type Random = ChaCha8Rng;
 
-/// Small and large numbers alike.
+/// Returns a random number of random magnitude.
 fn number(rng: &mut Random) -> u64 {
     let shift = rng.random_range(0..64);
     rng.random::<u64>() >> shift
--- a/components/wire/tests/frames.rs
+++ b/components/wire/tests/frames.rs
@@ -1,11 +1,11 @@
-//! Frames: round trips, pieces, limits and hostile bytes.
+//! Frames: round trips, chunked input, limits and malformed bytes.
 
 mod common;
 
 use common::{KINDS, kind, message};
 use dispatch::Message;
 use proptest::{collection::vec, prelude::*};
-use wire::{Decoder, Error, Frame, Hello, Limit, MAX_FRAME, VERSION, frame};
+use wire::{Decoder, Error, Frame, Hello, Limit, MAX_FRAME_BYTES, VERSION, frame};
 
 fn encoded(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn every_kind_has_its_number() {
+fn every_kind_has_a_number() {
     for number in 0..KINDS {
         assert_eq!(kind(&message(number, 1)), number);
     }
 }
 
 #[test]
-fn the_layout_is_fixed() {
+fn the_encoding_of_a_frame_is_fixed() {
     let bytes = encoded(&Message::SettingsWanted { have: site::unit::Revision(5) });
     assert_eq!(bytes, [3, 0, 0, 0, VERSION, 15, 5]);
 }
@@ -45,7 +45,7 @@
 #[test]
 fn another_version_is_refused() {
     let mut bytes = encoded(&message(11, 1));
-    bytes[frame::PREFIX] = VERSION + 1;
+    bytes[frame::PREFIX_BYTES] = VERSION + 1;
     assert_eq!(decoded(&bytes), Err(Error::Version { got: VERSION + 1 }));
 }
 
@@ -58,8 +58,8 @@
 fn bytes_after_the_message_are_refused() {
     let mut bytes = encoded(&message(15, 1));
     bytes.extend([0, 0]);
-    let length = (bytes.len() - frame::PREFIX) as u32;
-    bytes[..frame::PREFIX].copy_from_slice(&length.to_le_bytes());
+    let length = (bytes.len() - frame::PREFIX_BYTES) as u32;
+    bytes[..frame::PREFIX_BYTES].copy_from_slice(&length.to_le_bytes());
     assert_eq!(decoded(&bytes), Err(Error::Trailing { extra: 2 }));
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_claimed_count_reserves_nothing() {
+fn a_claimed_count_allocates_no_memory() {
     let mut body = vec![VERSION, 5, 0, 0];
     body.extend([0xff, 0xff, 0xff, 0xff, 0x0f]);
     let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
@@ -100,8 +100,8 @@
 #[test]
 fn limits_are_bounded() {
     assert!(Limit::new(0).is_err());
-    assert!(Limit::new(MAX_FRAME).is_ok());
-    assert!(Limit::new(MAX_FRAME + 1).is_err());
+    assert!(Limit::new(MAX_FRAME_BYTES).is_ok());
+    assert!(Limit::new(MAX_FRAME_BYTES + 1).is_err());
 }
 
 #[test]
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn batches_arrive_in_order_in_any_pieces(
+    fn frames_arrive_in_order_in_chunks_of_any_size(
         seeds in vec((0..KINDS, any::<u64>()), 1..10),
         piece in 1..300usize,
     ) {
@@ -135,7 +135,7 @@
         let mut arrived = Vec::new();
         for chunk in bytes.chunks(piece) {
             decoder.feed(chunk);
-            arrived.extend(drain(&mut decoder).expect("they are whole"));
+            arrived.extend(drain(&mut decoder).expect("the frames are valid"));
         }
         prop_assert_eq!(arrived, messages);
         prop_assert_eq!(decoder.finish(), Ok(()));
@@ -158,9 +158,9 @@
         let kept = cut.index(bytes.len());
         let expected = if kept == 0 { Ok(vec![]) } else { Err(Error::Truncated) };
         prop_assert_eq!(decoded(&bytes[..kept]), expected);
-        if kept > frame::PREFIX {
+        if kept > frame::PREFIX_BYTES {
             prop_assert_eq!(
-                Frame::<Message>::decode(&bytes[frame::PREFIX..kept]),
+                Frame::<Message>::decode(&bytes[frame::PREFIX_BYTES..kept]),
                 Err(Error::Truncated)
             );
         }
--- a/lab/src/world/callers.rs
+++ b/lab/src/world/callers.rs
@@ -181,7 +181,7 @@
         sound
             .map(|slot| {
                 slot.fake.settle(now);
-                slot.fake.free().count(needs)
+                slot.fake.free().max_tasks(needs)
             })
             .sum()
     }
