--- a/components/dispatch/src/entry/members.rs
+++ b/components/dispatch/src/entry/members.rs
@@ -47,7 +47,7 @@
         out: &mut Vec<Action>,
     ) {
         let draining = matches!(message, Message::Heartbeat(beat) if beat.draining);
-        let changed = self.members.lock().hear(now, from, draining);
+        let changed = self.members.lock().record_contact(now, from, draining);
         if changed {
             self.update_members(now, out);
         }
@@ -112,7 +112,7 @@
         for pool in self.all_pools() {
             pool.lock().list_leaving(now, leaving, out);
         }
-        let changed = self.members.lock().machines_gone(gone);
+        let changed = self.members.lock().vms_missing(gone);
         self.apply_changes(now, changed, out);
     }
 
--- a/components/dispatch/src/entry/route.rs
+++ b/components/dispatch/src/entry/route.rs
@@ -86,7 +86,7 @@
     /// Returns the failure for an identifier that is absent from its home's complete table.
     fn never_admitted(&self, id: SubmissionId) -> Failure {
         match self.handovers.lock().is_forgotten(id.token) {
-            true => ledger::table::expired(),
+            true => ledger::table::expired_failure(),
             false => not_run(Reason::HomeGone, None),
         }
     }
--- a/components/dispatch/src/entry/submit.rs
+++ b/components/dispatch/src/entry/submit.rs
@@ -72,7 +72,7 @@
                 let failure = not_run(Reason::Conflict, None);
                 self.reject(now, waiter, id, firm, failure, out);
             }
-            Admission::Barred(failure) => {
+            Admission::Rejected(failure) => {
                 let failure = self.weaken_failure(submission, failure);
                 self.reject(now, waiter, id, firm, failure, out);
             }
@@ -83,7 +83,7 @@
     /// shard's lock.
     fn admission_rejection(&self, id: SubmissionId) -> Option<Failure> {
         if id.home() == self.home && self.is_expired(id) {
-            return Some(ledger::table::expired());
+            return Some(ledger::table::expired_failure());
         }
         if id.home() == self.home && id.token.epoch > self.epoch.load(Ordering::Relaxed) {
             return Some(not_run(Reason::Unknown, None));
@@ -185,7 +185,7 @@
     /// may still be in transit.
     fn unknown(&self, id: SubmissionId) -> Failure {
         match self.is_expired(id) {
-            true => ledger::table::expired(),
+            true => ledger::table::expired_failure(),
             false => may_have_run(Reason::Unknown, None),
         }
     }
@@ -226,13 +226,13 @@
         out: &mut Vec<Action>,
     ) {
         if self.is_expired(id) {
-            return self.reject(now, waiter, id, firm, ledger::table::expired(), out);
+            return self.reject(now, waiter, id, firm, ledger::table::expired_failure(), out);
         }
         let failure = not_run(Reason::Cancelled, None);
         let arrived = {
             let mut shard = self.shard(id).lock();
             // Another firm's submission must look as if it did not exist.
-            !shard.forbid(id, firm, failure)
+            !shard.insert_tombstone(id, firm, failure)
                 && !matches!(shard.lookup(id, firm, None), Lookup::Unknown)
         };
         match arrived {
@@ -277,7 +277,7 @@
 
     /// Removes a caller that no longer waits.
     pub(super) fn abandon(&self, waiter: WaiterId, id: SubmissionId) {
-        self.shard(id).lock().abandon(id, Waiter::Caller(waiter));
+        self.shard(id).lock().remove_waiter(id, Waiter::Caller(waiter));
         self.forwarded.lock().abandon(waiter);
         self.claims.lock().remove(&waiter);
     }
--- a/components/dispatch/src/entry/view.rs
+++ b/components/dispatch/src/entry/view.rs
@@ -69,6 +69,6 @@
 
     /// Returns the number of submissions without a final answer.
     pub fn open_submissions(&self) -> usize {
-        self.shards.iter().map(|shard| shard.lock().open()).sum()
+        self.shards.iter().map(|shard| shard.lock().open_count()).sum()
     }
 }
--- a/components/dispatch/src/pool/admit.rs
+++ b/components/dispatch/src/pool/admit.rs
@@ -87,10 +87,10 @@
                 charged: cost,
                 avoid: Vec::new(),
             };
-            self.queue.push_urgent(key, cost, slack_per_task, item);
+            self.queue.push_with_max_overtake(key, cost, slack_per_task, item);
         }
         if self.expected_work(job) <= SMALL_JOB_WORK {
-            self.queue.hasten(JobKey(job.number), SMALL_JOB_HEAD_START);
+            self.queue.boost(JobKey(job.number), SMALL_JOB_HEAD_START);
         }
         self.add_open_tasks(submission.firm, job.number, submission.tasks.len() as u32);
     }
@@ -143,7 +143,7 @@
         if self.is_uniform() && self.queue.is_empty() && free >= tasks {
             return run_time;
         }
-        let work = self.queue.until_done(job.submission.firm, self.expected_work(job));
+        let work = self.queue.work_until_done(job.submission.firm, self.expected_work(job));
         Span(work.0 / u64::from(parallel)) + run_time
     }
 
@@ -162,8 +162,8 @@
     /// Returns the number of tasks that this entry can expect to run at one time.
     fn parallelism(&self, needs: &Resources) -> u32 {
         let needs = &self.average_needs.needs(needs);
-        let held = self.share.held.count(needs);
-        let local = self.share.local.count(needs);
+        let held = self.share.held.max_tasks(needs);
+        let local = self.share.local.max_tasks(needs);
         let expected = match self.share.peer_requests.is_empty() {
             true => held + local.saturating_sub(held) / 2,
             false => held.max(self.target(needs)),
--- a/components/dispatch/src/pool/attempt.rs
+++ b/components/dispatch/src/pool/attempt.rs
@@ -134,7 +134,7 @@
     ) -> Effect {
         let verdict = retry::judge(&report.reply, &attempt.item.job.submission);
         if verdict == Verdict::RetryNotRun {
-            attempt.item.job.unstart();
+            attempt.item.job.revert_start();
         }
         let key = key_of(&attempt.item);
         if attempt.item.job.is_closed() {
--- a/components/dispatch/src/pool/mod.rs
+++ b/components/dispatch/src/pool/mod.rs
@@ -78,7 +78,7 @@
 struct Running {
     attempts: Vec<AttemptId>,
     /// Racks on which they run.
-    spread: placement::Spread,
+    spread: placement::RackCounts,
 }
 
 /// A slot that stays unused until a point in time, since its endpoint refused a task as busy.
@@ -110,7 +110,7 @@
     queue: fairness::Queue<QueuedTask>,
     placement: placement::Pool,
     health: health::Monitor,
-    estimate: placement::Estimate,
+    estimate: placement::Estimator,
     budget: Budget,
     attempts: FxHashMap<AttemptId, Attempt>,
     /// Running attempts of each job, by job number.
@@ -156,7 +156,7 @@
             queue: fairness::Queue::new(),
             placement: placement::Pool::new(seed ^ u64::from(number)),
             health: health::Monitor::new(),
-            estimate: placement::Estimate::default(),
+            estimate: placement::Estimator::default(),
             budget: Budget::default(),
             attempts: FxHashMap::default(),
             running: FxHashMap::default(),
@@ -205,8 +205,8 @@
     }
 
     /// Key under which the run times and sizes of a job's tasks are estimated.
-    fn estimate_key(job: &Job) -> placement::Kind {
-        placement::Kind { firm: job.submission.firm, service: job.submission.service }
+    fn estimate_key(job: &Job) -> placement::TaskKind {
+        placement::TaskKind { firm: job.submission.firm, service: job.submission.service }
     }
 
     fn declared(&self, job: &Job, index: u16) -> (Resources, Span) {
@@ -223,7 +223,7 @@
             none if none == Resources::default() => service.map_or(none, |s| s.needs),
             hint => hint,
         };
-        (needs.with_slot(), run_time)
+        (needs.with_one_slot(), run_time)
     }
 
     /// Returns the resources to reserve for a task.
@@ -231,7 +231,7 @@
         if self.is_uniform() {
             return Resources::SLOT;
         }
-        let corrected = self.estimate.needs(Self::estimate_key(job), declared).with_slot();
+        let corrected = self.estimate.needs(Self::estimate_key(job), declared).with_one_slot();
         // A correction learnt from tasks that were declared far too small may exceed the capacity
         // of every worker.
         match self.index.could_fit(self.key, &corrected) {
--- a/components/dispatch/src/pool/timer.rs
+++ b/components/dispatch/src/pool/timer.rs
@@ -68,6 +68,6 @@
             true => self.slow_factors.insert(endpoint, factor),
             false => self.slow_factors.remove(&endpoint),
         };
-        self.placement.set_speed(endpoint, factor);
+        self.placement.set_slowdown(endpoint, factor);
     }
 }
--- a/components/entry/src/engine.rs
+++ b/components/entry/src/engine.rs
@@ -89,7 +89,7 @@
     /// Creates an engine. [`Engine::run_timer`] must run for it to make progress.
     pub fn new(options: Options, dependencies: Dependencies, metrics: Metrics) -> Engine {
         let settings = Settings { revision: options.revision, site: options.site.clone() };
-        dependencies.log.rename(Names::of(&settings.site));
+        dependencies.log.set_names(Names::of(&settings.site));
         Engine {
             home: options.home,
             clock: Clock::start(),
@@ -207,7 +207,7 @@
             *settings = Settings { revision, site: site.clone() };
         }
         metrics::set(&self.metrics.gauges().revision, revision.0);
-        self.dependencies.log.rename(Names::of(&site));
+        self.dependencies.log.set_names(Names::of(&site));
         self.post(Event::Settings { revision, site });
     }
 
@@ -279,7 +279,7 @@
 
     fn log(&self, now: Time, decision: Decision) {
         self.metrics.record_decision(&decision);
-        self.dependencies.log.decide(now, decision);
+        self.dependencies.log.log_decision(now, decision);
     }
 
     fn claim(self: &Arc<Self>, wanted: ClaimRequest) {
