--- a/components/explain/src/cause.rs
+++ b/components/explain/src/cause.rs
@@ -1,6 +1,6 @@
-//! Why a job ended as it did.
+//! Derives from log lines why a job ended as it did.
 
-use crate::{Line, Story};
+use crate::{History, Line};
 use compact_str::CompactString;
 use derive_more::Display;
 use std::collections::BTreeMap;
@@ -8,26 +8,26 @@
 /// Why a job ended as it did.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Cause {
-    /// No line about it.
+    /// No line is about it.
     #[display("not in these logs")]
     Unknown,
-    /// It was turned away before it was queued.
+    /// It was rejected before it was queued.
     #[display("turned away by {node}: {why}; it has not run")]
     TurnedAway {
-        /// By which process.
+        /// Name of the process that rejected it.
         node: CompactString,
-        /// Its words.
+        /// Error or message of the log line.
         why: CompactString,
     },
     /// It completed in time.
     #[display("completed in time")]
     InTime,
-    /// It completed late.
+    /// It completed after its deadline.
     #[display("completed {late_by} late: {why}")]
     Late {
-        /// By how much.
+        /// Time from the deadline to the answer.
         late_by: CompactString,
-        /// Why.
+        /// What delayed it.
         why: Delay,
     },
     /// It could not start in time.
@@ -36,70 +36,70 @@
          had room for {room} tasks"
     )]
     NoRoom {
-        /// For how long.
+        /// Time from its arrival to the answer.
         waited: CompactString,
         /// Jobs that waited at its home.
         waiting: u64,
-        /// Room at other entries at the end.
+        /// Tasks that other entries had room for when it was answered.
         room: u64,
     },
-    /// Too much waited when it came.
+    /// Too much work was pending when it arrived.
     #[display(
-        "refused at once, it has not run: it would have waited {foreseen} for room, {limit} is the most"
+        "refused at once, it has not run: it would have waited {foreseen} for room, and the limit was {limit}"
     )]
     Overload {
-        /// How long it would have waited.
+        /// Its expected wait for room.
         foreseen: CompactString,
-        /// How long it might have.
+        /// The longest expected wait at which it would have been admitted.
         limit: CompactString,
     },
-    /// Nothing could run it but executors that were to get no new work.
+    /// All executors that could run it were under cordon.
     #[display(
         "refused, it has not run: all executors that could run it are in data centres under cordon"
     )]
     Cordoned,
-    /// It came too late.
+    /// It arrived too late to end while its answer was needed.
     #[display(
-        "refused, it has not run: its answer was of use for {give_up_in} more, and a task takes \
+        "refused, it has not run: its answer was needed for {give_up_in} more, and a task takes \
          {estimate}"
     )]
     TooLate {
-        /// For how long its answer was of use when it arrived.
+        /// How long its answer was still needed when it arrived.
         give_up_in: CompactString,
-        /// How long a task was to take.
+        /// The estimate for one of its tasks.
         estimate: CompactString,
     },
-    /// Its home had not run for a while and refused it.
+    /// Its home had not run for a while and rejected it.
     #[display("refused, it has not run: {node} did not run for a while")]
     HomePaused {
-        /// The home.
+        /// Name of its home.
         node: CompactString,
     },
     /// It began, and was given up.
     #[display("given up after it began: {why}")]
     GivenUp {
-        /// Why.
+        /// What delayed it.
         why: Delay,
     },
-    /// A task failed as often as it may.
+    /// A task failed too often.
     #[display("failed: task {index} failed {failures} times")]
     Failed {
-        /// Which.
+        /// Position of the task in the job.
         index: u64,
-        /// How often.
+        /// Number of failures.
         failures: u64,
     },
-    /// Executors crashed or fell silent under one of its tasks.
+    /// Executors crashed or became unresponsive while they ran one of its tasks.
     #[display(
         "failed: {executors} executors were lost under task {index}, which may be what crashes them"
     )]
     ExecutorsLost {
-        /// Which.
+        /// Position of the task in the job.
         index: u64,
-        /// How many.
+        /// Number of executors that were lost.
         executors: usize,
     },
-    /// Its caller left.
+    /// Its caller left before the answer.
     #[display("its caller left before the answer")]
     CallerLeft,
     /// Its home ended before the answer.
@@ -107,82 +107,82 @@
         "its entry {node} ended before the answer and started again {gap_ms} ms after it took the job"
     )]
     HomeLost {
-        /// The home.
+        /// Name of its home.
         node: CompactString,
-        /// From the job's arrival to the start of the next process.
+        /// Milliseconds from the job's arrival to the start of its home's next process.
         gap_ms: u64,
     },
     /// The home's log ends before the answer.
     #[display("the log of its entry {node} ends before the answer")]
     LogEnds {
-        /// The home.
+        /// Name of its home.
         node: CompactString,
     },
 }
 
-/// What held a job up.
+/// What delayed a job.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Delay {
-    /// A run ended otherwise than well, or had to be stopped.
+    /// A run ended unsuccessfully, or had to be stopped.
     #[display("run {run} at executor {executor} {how}")]
     Run {
-        /// Which.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// Where.
+        /// Name of the executor.
         executor: CompactString,
-        /// How.
+        /// Description of what happened to the run.
         how: CompactString,
     },
     /// A run had not ended.
     #[display("run {run} at executor {executor} had not ended{silent}")]
     Unended {
-        /// Which.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// Where.
+        /// Name of the executor.
         executor: CompactString,
-        /// Whether the executor answered at the end.
+        /// Whether the executor was unresponsive at that time.
         silent: Silent,
     },
-    /// A keeper lost its tasks.
+    /// A keeper of its tasks was lost.
     #[display("tasks were at an entry that was lost")]
     KeeperLost,
-    /// A keeper handed a task back again and again.
+    /// Keepers handed a task back repeatedly.
     #[display("task {index} was handed back {times} times, since its keepers had no room for it")]
     HandedBack {
-        /// Which.
+        /// Position of the task in the job.
         index: u64,
-        /// How often.
+        /// How often it was handed back.
         times: usize,
     },
-    /// Too little of its time was left when it came.
+    /// Too little time was left when it arrived.
     #[display(
         "it came {due_in} before it was late, and a task takes {estimate}: an earlier request for it \
          took the time"
     )]
     CameLate {
-        /// What was left.
+        /// Time from its arrival to its deadline.
         due_in: CompactString,
-        /// How long a task was to take.
+        /// The estimate for one of its tasks.
         estimate: CompactString,
     },
     /// It waited for room.
     #[display("it waited {waited} for room")]
     Room {
-        /// For how long.
+        /// How long it waited before its first task was sent to a keeper.
         waited: CompactString,
     },
     /// Its home did not run for a while.
     #[display("{node} did not run for a while")]
     Paused {
-        /// Which.
+        /// Name of its home.
         node: CompactString,
     },
-    /// Tasks waited at their keeper.
+    /// A task was queued at its keeper.
     #[display("run {run} waited {waited} at its keeper")]
     Queue {
-        /// Which.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// For how long.
+        /// How long it was queued.
         waited: CompactString,
     },
     /// Nothing went wrong: the tasks took longer than estimated.
@@ -190,46 +190,46 @@
     LongTasks,
 }
 
-/// Whether an executor answered.
+/// Whether an executor was unresponsive.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Silent {
-    /// It did, as far as the logs tell.
+    /// It responded, or the logs do not say otherwise.
     #[display("")]
     No,
-    /// It did not.
+    /// It did not respond.
     #[display(" (the executor did not answer)")]
     Yes,
 }
 
-/// A wait at a keeper below this explains no delay.
-const LONG_WAIT_MS: f64 = 20.0;
+/// A shorter wait at a keeper, in milliseconds, explains no delay.
+const MIN_RELEVANT_WAIT_MS: f64 = 20.0;
 
-/// How long a keeper has a task that it hands back, in milliseconds: it holds it for 10 ms and looks
-/// at what it holds every 20 ms at least.
+/// How long a keeper has a task that it hands back, in milliseconds: it holds it for 10 ms and
+/// checks its queue at least every 20 ms.
 const HAND_BACK_MS: f64 = 25.0;
 
 impl Cause {
-    pub(crate) fn of(story: &Story) -> Self {
-        let own = story.of_request();
-        let last = |what: &str| own.iter().rev().find(|line| line.what == what).copied();
+    pub(crate) fn of(history: &History) -> Self {
+        let own = history.of_request();
+        let last = |kind: &str| own.iter().rev().find(|line| line.kind == kind).copied();
         if let Some(line) = last("answer") {
-            // What happened before the request came in belongs to earlier ones.
+            // Lines from before the request arrived belong to earlier requests for the job.
             let since = last("admit").map_or(0, |line| line.time_ms);
             let lines: Vec<_> =
-                story.lines().into_iter().filter(|line| line.time_ms >= since).collect();
-            return answered(story, &lines, line);
+                history.lines().into_iter().filter(|line| line.time_ms >= since).collect();
+            return answered(history, &lines, line);
         }
         if last("left").is_some() {
             return Cause::CallerLeft;
         }
         if let Some(line) = last("admit") {
-            return unanswered(story, line);
+            return unanswered(history, line);
         }
-        let turned_away = own.iter().find(|line| line.what.contains("turned away"));
+        let turned_away = own.iter().find(|line| line.kind.contains("turned away"));
         match turned_away {
             Some(line) => {
                 let error = line.text("error");
-                let why = if error.is_empty() { line.what.as_str() } else { error };
+                let why = if error.is_empty() { line.kind.as_str() } else { error };
                 Cause::TurnedAway { node: line.node.clone(), why: why.into() }
             }
             None => Cause::Unknown,
@@ -237,11 +237,11 @@
     }
 }
 
-fn answered(story: &Story, lines: &[&Line], line: &Line) -> Cause {
+fn answered(history: &History, lines: &[&Line], line: &Line) -> Cause {
     match (line.text("answer"), line.text("why")) {
         ("completed", _) if line.text("late_by") == "0s" => Cause::InTime,
         ("completed", _) => {
-            Cause::Late { late_by: line.text("late_by").into(), why: delay(story, lines, line) }
+            Cause::Late { late_by: line.text("late_by").into(), why: delay(history, lines, line) }
         }
         ("refused", "paused") => Cause::HomePaused { node: line.node.clone() },
         ("refused", "overload") => {
@@ -253,7 +253,7 @@
             let text = |field| first(lines, "admit").map_or("", |line| line.text(field)).into();
             Cause::TooLate { give_up_in: text("give_up_in"), estimate: text("estimate") }
         }
-        // Keepers may have had it and handed it back: nothing started until the answer.
+        // Keepers may have had it and handed it back; nothing was started until the answer.
         ("refused", _) => Cause::NoRoom {
             waited: line.text("after").into(),
             waiting: line.number("waiting"),
@@ -273,29 +273,29 @@
                 failures: failed.map_or(0, |line| line.number("failures")),
             }
         }
-        _ => Cause::GivenUp { why: delay(story, lines, line) },
+        _ => Cause::GivenUp { why: delay(history, lines, line) },
     }
 }
 
-/// What held a job up that was answered by `answer`.
-fn delay(story: &Story, lines: &[&Line], answer: &Line) -> Delay {
+/// What delayed a job that got its answer in the line `answer`.
+fn delay(history: &History, lines: &[&Line], answer: &Line) -> Delay {
     if answer.text("why") == "paused" {
         return Delay::Paused { node: answer.node.clone() };
     }
     let went_wrong = lines.iter().find(|line| {
         line.time_ms <= answer.time_ms
-            && matches!(line.what.as_str(), "run-ended" | "stop-run" | "start-refused")
+            && matches!(line.kind.as_str(), "run-ended" | "stop-run" | "start-refused")
             && line.text("why") != "cancelled"
     });
     let unended = lines.iter().find(|line| line.text("why") == "cancelled");
     if let (None, Some(line)) = (went_wrong, unended) {
-        return unended_run(story, line);
+        return unended_run(history, line);
     }
     if let Some(line) = went_wrong {
         return Delay::Run {
             run: line.text("run").into(),
             executor: line.text("executor").into(),
-            how: describe(story, line),
+            how: describe(history, line),
         };
     }
     if let Some(delay) = came_late(lines).or_else(|| handed_back(lines, answer)) {
@@ -303,22 +303,22 @@
     }
     let waits = lines
         .iter()
-        .filter(|line| line.what == "start")
+        .filter(|line| line.kind == "start")
         .map(|line| (millis(line.text("waited")), line));
     let longest = waits.max_by(|a, b| a.0.total_cmp(&b.0));
     let waited = millis(answer.text("waited"));
     match longest {
-        Some((ms, line)) if ms >= LONG_WAIT_MS && ms >= waited => {
+        Some((ms, line)) if ms >= MIN_RELEVANT_WAIT_MS && ms >= waited => {
             Delay::Queue { run: line.text("run").into(), waited: line.text("waited").into() }
         }
-        _ if waited >= LONG_WAIT_MS => Delay::Room { waited: answer.text("waited").into() },
+        _ if waited >= MIN_RELEVANT_WAIT_MS => Delay::Room { waited: answer.text("waited").into() },
         None => Delay::KeeperLost,
-        _ if lines.iter().any(|line| line.what == "task-ended") => Delay::KeeperLost,
+        _ if lines.iter().any(|line| line.kind == "task-ended") => Delay::KeeperLost,
         _ => Delay::LongTasks,
     }
 }
 
-/// The delay of a job that came with less time left than one of its tasks takes.
+/// The delay of a job that arrived with less time left than one of its tasks takes.
 fn came_late(lines: &[&Line]) -> Option<Delay> {
     let admit = first(lines, "admit")?;
     let (due_in, estimate) = (admit.text("due_in"), admit.text("estimate"));
@@ -337,22 +337,22 @@
     took_most.then_some(Delay::HandedBack { index, times })
 }
 
-/// A run that was stopped only because its job had its answer.
-fn unended_run(story: &Story, line: &Line) -> Delay {
+/// A run that was stopped only because its job was answered.
+fn unended_run(history: &History, line: &Line) -> Delay {
     let executor = line.text("executor");
     Delay::Unended {
         run: line.text("run").into(),
         executor: executor.into(),
-        silent: if is_silent(story, executor, line.time_ms) { Silent::Yes } else { Silent::No },
+        silent: if is_silent(history, executor, line.time_ms) { Silent::Yes } else { Silent::No },
     }
 }
 
-fn is_silent(story: &Story, executor: &str, at_ms: u64) -> bool {
-    story.keep_before(executor, at_ms).is_some_and(|keep| keep.text("change") == "silent")
+fn is_silent(history: &History, executor: &str, at_ms: u64) -> bool {
+    history.keep_before(executor, at_ms).is_some_and(|keep| keep.text("change") == "silent")
 }
 
-fn first<'a>(lines: &[&'a Line], what: &str) -> Option<&'a Line> {
-    lines.iter().find(|line| line.what == what).copied()
+fn first<'a>(lines: &[&'a Line], kind: &str) -> Option<&'a Line> {
+    lines.iter().find(|line| line.kind == kind).copied()
 }
 
 /// Whether a job could not have ended in time even if it had started when it arrived.
@@ -361,10 +361,10 @@
         .is_some_and(|line| millis(line.text("give_up_in")) < millis(line.text("estimate")))
 }
 
-/// What a line says went wrong with a run.
-fn describe(story: &Story, line: &Line) -> CompactString {
+/// Describes what went wrong with a run, according to a line.
+fn describe(history: &History, line: &Line) -> CompactString {
     let executor = line.text("executor");
-    let how = match line.what.as_str() {
+    let how = match line.kind.as_str() {
         "stop-run" => match line.text("why") {
             "overdue" => "ran on for several times its estimate and was stopped",
             "start-lost" => "was started without an answer, is not listed, and was stopped",
@@ -386,22 +386,22 @@
             },
         },
     };
-    match is_silent(story, executor, line.time_ms) {
+    match is_silent(history, executor, line.time_ms) {
         true => format!("{how} (the executor did not answer)").into(),
         false => how.into(),
     }
 }
 
-/// Why a job that was admitted has no answer.
-fn unanswered(story: &Story, admitted: &Line) -> Cause {
+/// Why an admitted job has no answer.
+fn unanswered(history: &History, admitted: &Line) -> Cause {
     let node = admitted.node.clone();
-    match story.next_around("starting", &node, admitted.time_ms) {
+    match history.next_process_line("starting", &node, admitted.time_ms) {
         Some(line) => Cause::HomeLost { node, gap_ms: line.time_ms - admitted.time_ms },
         None => Cause::LogEnds { node },
     }
 }
 
-/// Milliseconds of a span like `15ms`, `2s` or `1234us`.
+/// Milliseconds of a span such as `15ms`, `2s` or `1234us`.
 fn millis(span: &str) -> f64 {
     let digits = span.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let number: f64 = digits.parse().unwrap_or(0.0);
--- a/components/explain/src/story.rs
+++ b/components/explain/src/history.rs
@@ -1,61 +1,60 @@
-//! All that logs say of one job.
+//! The log lines about one job.
 
 use crate::{Cause, Line};
 use compact_str::CompactString;
 use std::fmt;
 
-/// All that logs say of one job.
+/// The log lines about one job.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct History {
     job: CompactString,
-    /// The request of the job that is asked about; the latest one if none.
+    /// The id of the request in question; `None` for the latest request of the job.
     request: Option<CompactString>,
     /// Lines about the job.
     lines: Vec<Line>,
-    /// Lines about the start, the stop or a pause of processes, and about which executors they
-    /// keep.
-    around: Vec<Line>,
+    /// Lines about processes that start, stop or pause, and about the executors that entries keep.
+    process_lines: Vec<Line>,
 }
 
-impl Story {
-    /// A story without lines.
+impl History {
+    /// Creates a history without lines.
     pub fn new(job: &str) -> Self {
-        Self { job: job.into(), request: None, lines: Vec::new(), around: Vec::new() }
+        Self { job: job.into(), request: None, lines: Vec::new(), process_lines: Vec::new() }
     }
 
-    /// The story of a job by its name, or by the id of a request that handed it in.
+    /// Finds the lines of a job by its name, or by the id of one of its requests.
     pub fn find(id: &str, log: &str) -> Self {
         let by_request = log
             .lines()
             .filter(|text| text.contains(id))
             .filter_map(Line::parse)
             .find(|line| line.text("request") == id);
-        let mut story = match by_request {
+        let mut history = match by_request {
             Some(line) => Self { request: Some(id.into()), ..Self::new(line.job()) },
             None => Self::new(id),
         };
-        log.lines().for_each(|text| story.add(text));
-        story
+        log.lines().for_each(|text| history.add(text));
+        history
     }
 
-    /// Takes in a line of a log.
+    /// Adds a log line if it concerns the job or a process.
     pub fn add(&mut self, text: &str) {
         let Some(line) = Line::parse(text) else { return };
         if line.concerns(&self.job) {
             self.lines.push(line);
-        } else if matches!(line.what.as_str(), "starting" | "stopping" | "paused" | "keep") {
-            self.around.push(line);
+        } else if matches!(line.kind.as_str(), "starting" | "stopping" | "paused" | "keep") {
+            self.process_lines.push(line);
         }
     }
 
-    /// The lines about the job, in order of time.
+    /// The lines about the job, ordered by time.
     pub fn lines(&self) -> Vec<&Line> {
         let mut lines: Vec<_> = self.lines.iter().collect();
         lines.sort_by_key(|line| line.time_ms);
         lines
     }
 
-    /// The lines that tell how the request came in and was answered.
+    /// The lines about the arrival and the answer of the request.
     pub(crate) fn of_request(&self) -> Vec<&Line> {
         let matches = |line: &&Line| match &self.request {
             Some(request) => line.text("request") == request,
@@ -69,20 +68,20 @@
         Cause::of(self)
     }
 
-    /// The first line of a kind about a process or an executor, at or after a moment.
-    pub(crate) fn next_around(&self, what: &str, name: &str, from_ms: u64) -> Option<&Line> {
-        self.around
+    /// The first line of a kind about a process or an executor, at or after a time.
+    pub(crate) fn next_process_line(&self, kind: &str, name: &str, from_ms: u64) -> Option<&Line> {
+        self.process_lines
             .iter()
-            .filter(|line| line.what == what && line.time_ms >= from_ms)
+            .filter(|line| line.kind == kind && line.time_ms >= from_ms)
             .filter(|line| line.node == name || line.text("name") == name)
             .min_by_key(|line| line.time_ms)
     }
 
-    /// The latest line about an executor's keeping, at or before a moment.
+    /// The latest line about the keeping of an executor, at or before a time.
     pub(crate) fn keep_before(&self, executor: &str, until_ms: u64) -> Option<&Line> {
-        self.around
+        self.process_lines
             .iter()
-            .filter(|line| line.what == "keep" && line.time_ms <= until_ms)
+            .filter(|line| line.kind == "keep" && line.time_ms <= until_ms)
             .filter(|line| line.text("executor") == executor)
             .max_by_key(|line| line.time_ms)
     }
@@ -90,7 +89,7 @@
 
 impl fmt::Display for Line {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {} {}", self.time_ms, self.node, self.what)?;
+        write!(f, "{} {} {}", self.time_ms, self.node, self.kind)?;
         for (name, value) in &self.fields {
             match value.as_str() {
                 Some(text) => write!(f, " {name}={text}")?,
--- a/components/explain/src/lib.rs
+++ b/components/explain/src/lib.rs
@@ -1,12 +1,12 @@
-//! Tells from the logs of entries what became of a job.
+//! Explains from the logs of entries how a job ended.
 //!
-//! [`Story`] takes log lines in any order and keeps those that concern one job; [`Story::cause`]
-//! says why the job ended as it did.
+//! [`History`] accepts log lines in any order and keeps those that concern one job;
+//! [`History::cause`] says why the job ended as it did.
 
 mod cause;
+mod history;
 mod line;
-mod story;
 
 pub use cause::Cause;
+pub use history::History;
 pub use line::Line;
-pub use story::Story;
--- a/components/explain/src/line.rs
+++ b/components/explain/src/line.rs
@@ -1,25 +1,25 @@
-//! Log lines.
+//! Parsing of log lines.
 
 use compact_str::CompactString;
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// One line of a log, as far as it is understood.
+/// One parsed line of a log.
 #[derive(Clone, Debug)]
 pub struct Line {
     /// Milliseconds since 1970.
     pub time_ms: u64,
-    /// Which process wrote it; empty where the line does not say.
+    /// Name of the process that wrote it; empty if the line has none.
     pub node: CompactString,
-    /// What kind of decision it tells of, or the text of another line.
-    pub what: CompactString,
-    /// Everything else.
+    /// The kind of decision, or the message of a line that is not about a decision.
+    pub kind: CompactString,
+    /// All other fields.
     pub fields: Map<String, Value>,
 }
 
-/// A line that tells of a decision.
+/// A line of the decision log.
 #[derive(Deserialize)]
-struct Decided {
+struct DecisionLine {
     time_ms: u64,
     node: CompactString,
     decision: CompactString,
@@ -29,27 +29,27 @@
 
 /// Any other line.
 #[derive(Deserialize)]
-struct Traced {
+struct TraceLine {
     timestamp: CompactString,
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line; `None` for one that is not from an entry. Whatever stands before the first
-    /// brace was added by who collected the logs; its last word is taken for the process's name.
+    /// Parses a line; `None` if it was not written by an entry. The part before the first brace was
+    /// added by the collector of the logs; its last word is used as the process's name.
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let (prefix, json) = text.split_at(start);
-        if let Ok(line) = serde_json::from_str::<Decided>(json) {
-            let Decided { time_ms, node, decision: what, fields } = line;
-            return Some(Self { time_ms, node, what, fields });
+        if let Ok(line) = serde_json::from_str::<DecisionLine>(json) {
+            let DecisionLine { time_ms, node, decision: kind, fields } = line;
+            return Some(Self { time_ms, node, kind, fields });
         }
-        let mut line: Traced = serde_json::from_str(json).ok()?;
+        let mut line: TraceLine = serde_json::from_str(json).ok()?;
         let message = line.fields.remove("message")?;
         Some(Self {
             time_ms: unix_ms(&line.timestamp)?,
             node: prefix.split_whitespace().next_back().unwrap_or_default().into(),
-            what: message.as_str()?.into(),
+            kind: message.as_str()?.into(),
             fields: line.fields,
         })
     }
@@ -62,7 +62,7 @@
         is_job("job") || is_run || is_path
     }
 
-    /// The job that the line names, if it is about a request.
+    /// The job that the line names, if it is about a request; empty otherwise.
     pub(crate) fn job(&self) -> &str {
         match self.text("job") {
             "" => self.text("path").rsplit('/').next().unwrap_or_default(),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Milliseconds since 1970 of a time like `2026-07-03T13:13:15.015142Z`.
+/// Milliseconds since 1970 of a time such as `2026-07-03T13:13:15.015142Z`.
 fn unix_ms(text: &str) -> Option<u64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.split('-').map(|part| part.parse::<i64>().ok());
@@ -90,13 +90,13 @@
     let hours: i64 = time.next()?.parse().ok()?;
     let minutes: i64 = time.next()?.parse().ok()?;
     let seconds: f64 = time.next()?.parse().ok()?;
-    // Days since 1970 by the civil calendar, with years that begin in March.
+    // Days since 1970 in the civil calendar, with years that begin in March.
     let year = if month <= 2 { year - 1 } else { year };
     let era = year.div_euclid(400);
     let year_of_era = year.rem_euclid(400);
     let day_of_year = (153 * ((month + 9) % 12) + 2) / 5 + day - 1;
     let day_of_era = year_of_era * 365 + year_of_era / 4 - year_of_era / 100 + day_of_year;
     let days = era * 146_097 + day_of_era - 719_468;
-    let whole = (days * 24 + hours) * 60 + minutes;
-    u64::try_from(whole * 60_000 + (seconds * 1_000.0) as i64).ok()
+    let total_minutes = (days * 24 + hours) * 60 + minutes;
+    u64::try_from(total_minutes * 60_000 + (seconds * 1_000.0) as i64).ok()
 }
--- a/components/explain/tests/causes.rs
+++ b/components/explain/tests/causes.rs
@@ -1,17 +1,17 @@
-//! Causes of staged ends.
+//! Causes that are derived from given log lines.
 
-use explain::{Cause, Story};
+use explain::{Cause, History};
 
 const JOB: &str = "5c0e7a21d94b36f8";
 
-fn story(lines: &[&str]) -> Story {
-    let mut story = Story::new(JOB);
-    lines.iter().for_each(|line| story.add(&line.replace("JOB", JOB)));
-    story
+fn history(lines: &[&str]) -> History {
+    let mut history = History::new(JOB);
+    lines.iter().for_each(|line| history.add(&line.replace("JOB", JOB)));
+    history
 }
 
 fn cause(lines: &[&str]) -> String {
-    story(lines).cause().to_string()
+    history(lines).cause().to_string()
 }
 
 const ADMIT: &str =
@@ -20,13 +20,13 @@
 const START: &str = r#"{"time_ms":1003,"node":"entry-2","decision":"start","run":"JOB.0.0.1#1","executor":"i-7","waited":"0s"}"#;
 
 #[test]
-fn nothing_is_said_of_an_unknown_job() {
+fn an_unknown_job_has_no_cause() {
     let other = r#"{"time_ms":1,"node":"n","decision":"admit","job":"5c0e7a21d94b36f9"}"#;
-    assert_eq!(story(&[other, "no log line", "{}", "{\"time_ms\":"]).cause(), Cause::Unknown);
+    assert_eq!(history(&[other, "no log line", "{}", "{\"time_ms\":"]).cause(), Cause::Unknown);
 }
 
 #[test]
-fn a_refusal_names_the_wait_and_the_room() {
+fn a_rejection_names_the_wait_and_the_room() {
     let answer = r#"{"time_ms":1400,"node":"entry-1","decision":"answer","job":"JOB","answer":"refused","why":"no-room-in-time","after":"400ms","waited":"400ms","late_by":"300ms","waiting":12,"room":0}"#;
     assert_eq!(
         cause(&[ADMIT, answer]),
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_job_that_is_turned_away_at_once_is_told_the_wait_that_was_foreseen() {
+fn a_job_rejected_at_once_shows_its_expected_wait() {
     let admit = r#"{"time_ms":1000,"node":"entry-1","decision":"admit","job":"JOB","tasks":4,"waiting":2,"foreseen":"81200us","limit":"35ms"}"#;
     let answer = r#"{"time_ms":1000,"node":"entry-1","decision":"answer","job":"JOB","answer":"refused","why":"overload","after":"0s","waited":"0s","late_by":"0s","waiting":2,"room":0}"#;
     assert_eq!(
         cause(&[admit, answer]),
-        "refused at once, it has not run: it would have waited 81200us for room, 35ms is the most"
+        "refused at once, it has not run: it would have waited 81200us for room, and the limit was 35ms"
     );
 }
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_silent_executor_is_told_from_a_slow_one() {
+fn an_unresponsive_executor_is_distinguished_from_a_slow_one() {
     let silent = r#"{"time_ms":1600,"node":"entry-2","decision":"keep","executor":"i-7","change":"silent","token":3,"runs":1}"#;
     let ended = r#"{"time_ms":1800,"node":"entry-2","decision":"run-ended","run":"JOB.0.0.1#1","executor":"i-7","how":"lease-over","after":"790ms"}"#;
     let answer = r#"{"time_ms":2100,"node":"entry-1","decision":"answer","job":"JOB","answer":"completed","why":"all-done","after":"1100ms","waited":"1ms","late_by":"300ms","waiting":0,"room":3}"#;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_failed_run_is_told_by_its_listed_end() {
+fn a_failed_run_is_recognised_by_its_listed_end() {
     let ended = r#"{"time_ms":1100,"node":"entry-2","decision":"run-ended","run":"JOB.0.0.1#1","executor":"i-7","how":{"listed":"failed"},"after":"90ms"}"#;
     let task = r#"{"time_ms":1101,"node":"entry-1","decision":"task-ended","job":"JOB","index":1,"run":1,"end":"failed","failures":2,"again":false}"#;
     let answer = r#"{"time_ms":1101,"node":"entry-1","decision":"answer","job":"JOB","answer":"failed","why":"failures","after":"101ms","waited":"1ms","late_by":"0s","waiting":0,"room":3}"#;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_task_that_crashes_its_executors_is_told() {
+fn a_task_that_crashes_its_executors_is_reported() {
     let line = |time: u64, run: u64, again: bool| {
         format!(
             r#"{{"time_ms":{time},"node":"entry-1","decision":"task-ended","job":"JOB","index":1,"run":{run},"end":"executor-lost","failures":0,"again":{again}}}"#
@@ -106,13 +106,13 @@
 }
 
 #[test]
-fn a_caller_that_left_is_told() {
+fn a_caller_that_left_is_reported() {
     let left = r#"{"time_ms":1300,"node":"entry-1","decision":"left","job":"JOB","placed":4}"#;
     assert_eq!(cause(&[ADMIT, PLACE, START, left]), "its caller left before the answer");
 }
 
 #[test]
-fn a_request_that_was_turned_away_is_told_by_its_path() {
+fn a_rejected_request_is_found_by_its_path() {
     let line = r#"{"timestamp":"2026-12-02T20:39:42.481561Z","level":"INFO","fields":{"message":"a request was turned away: no such queue","path":"/jobs/JOB","version":3}}"#;
     assert_eq!(
         cause(&[line]),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_wait_at_a_keeper_is_told() {
+fn a_wait_at_a_keeper_is_reported() {
     let start = START.replace("\"waited\":\"0s\"", "\"waited\":\"150ms\"");
     let answer = r#"{"time_ms":1500,"node":"entry-1","decision":"answer","job":"JOB","answer":"completed","why":"all-done","after":"500ms","waited":"30ms","late_by":"100ms","waiting":0,"room":3}"#;
     assert_eq!(
@@ -131,24 +131,24 @@
 }
 
 #[test]
-fn lines_come_in_order_of_time() {
-    let story = story(&[START, ADMIT, PLACE]);
-    let times: Vec<_> = story.lines().iter().map(|line| line.time_ms).collect();
+fn lines_are_ordered_by_time() {
+    let history = history(&[START, ADMIT, PLACE]);
+    let times: Vec<_> = history.lines().iter().map(|line| line.time_ms).collect();
     assert_eq!(times, [1_000, 1_001, 1_003]);
 }
 
 #[test]
-fn a_job_that_came_too_late_is_told() {
+fn a_job_that_arrived_too_late_is_reported() {
     let admit = r#"{"time_ms":1000,"node":"entry-1","decision":"admit","job":"JOB","tasks":4,"estimate":"200ms","give_up_in":"30ms","waiting":0}"#;
     let answer = r#"{"time_ms":1000,"node":"entry-1","decision":"answer","job":"JOB","answer":"refused","why":"no-room-in-time","after":"0s","waited":"0s","late_by":"0s","waiting":0,"room":9}"#;
     assert_eq!(
         cause(&[admit, answer]),
-        "refused, it has not run: its answer was of use for 30ms more, and a task takes 200ms"
+        "refused, it has not run: its answer was needed for 30ms more, and a task takes 200ms"
     );
 }
 
 #[test]
-fn a_stop_after_the_answer_is_no_cause() {
+fn a_stop_after_the_answer_is_not_the_cause() {
     let silent = r#"{"time_ms":1200,"node":"entry-2","decision":"keep","executor":"i-7","change":"silent","token":3,"runs":1}"#;
     let answer = r#"{"time_ms":1500,"node":"entry-1","decision":"answer","job":"JOB","answer":"given-up","why":"out-of-time","after":"500ms","waited":"1ms","late_by":"200ms","waiting":0,"room":3}"#;
     let stop = r#"{"time_ms":1501,"node":"entry-2","decision":"stop-run","run":"JOB.0.0.1#1","executor":"i-7","why":"cancelled"}"#;
@@ -165,11 +165,11 @@
 const SECOND: &str = r#"{"time_ms":2500,"node":"entry-2","decision":"admit","job":"JOB","request":"a2","tasks":4,"waiting":0}"#;
 
 fn found(id: &str, lines: &[&str]) -> String {
-    Story::find(id, &lines.join("\n").replace("JOB", JOB)).cause().to_string()
+    History::find(id, &lines.join("\n").replace("JOB", JOB)).cause().to_string()
 }
 
 #[test]
-fn a_request_is_told_from_the_next_one_for_the_same_job() {
+fn a_request_is_distinguished_from_the_next_one_for_the_same_job() {
     let stop = r#"{"time_ms":1350,"node":"entry-2","decision":"stop-run","run":"JOB.0.0.1#1","executor":"i-7","why":"overdue"}"#;
     let given_up = r#"{"time_ms":1500,"node":"entry-1","decision":"answer","job":"JOB","request":"a1","answer":"given-up","why":"out-of-time","after":"500ms","waited":"1ms","late_by":"200ms","waiting":0,"room":3}"#;
     let refused = r#"{"time_ms":2900,"node":"entry-2","decision":"answer","job":"JOB","request":"a2","answer":"refused","why":"no-room-in-time","after":"400ms","waited":"400ms","late_by":"300ms","waiting":12,"room":0}"#;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_request_that_was_turned_away_is_told_by_its_id() {
+fn a_rejected_request_is_found_by_its_id() {
     let line = r#"{"timestamp":"2026-12-02T20:39:42.481561Z","level":"INFO","fields":{"message":"a request was turned away: the process stops too soon","path":"JOB","request":"a1"}}"#;
     let answer = r#"{"time_ms":2900,"node":"entry-2","decision":"answer","job":"JOB","request":"a2","answer":"completed","why":"all-done","after":"40ms","waited":"0s","late_by":"0s","waiting":0,"room":0}"#;
     let log = [line, SECOND, answer];
@@ -193,14 +193,14 @@
 }
 
 #[test]
-fn a_task_that_found_no_room_is_told() {
+fn a_task_that_found_no_room_is_reported() {
     let back = r#"{"time_ms":1030,"node":"entry-1","decision":"task-ended","job":"JOB","index":2,"run":1,"end":"not-run","failures":0,"again":true}"#;
     let answer = r#"{"time_ms":1800,"node":"entry-1","decision":"answer","job":"JOB","answer":"given-up","why":"lost-too-late","after":"140ms","waited":"30ms","late_by":"400ms","waiting":5,"room":0}"#;
     assert_eq!(
         cause(&[ADMIT, PLACE, START, back, back, back, answer]),
         "given up after it began: task 2 was handed back 3 times, since its keepers had no room for it"
     );
-    // Of a longer wait it is not the cause.
+    // It does not explain a longer delay.
     let later = answer.replace("\"after\":\"140ms\"", "\"after\":\"1400ms\"");
     assert_eq!(
         cause(&[ADMIT, PLACE, START, back, back, back, &later]),
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_job_whose_earlier_request_took_the_time_is_told() {
+fn a_job_whose_earlier_request_took_the_time_is_reported() {
     let admit = r#"{"time_ms":1000,"node":"entry-1","decision":"admit","job":"JOB","request":"a2","tasks":2,"estimate":"147ms","due_in":"5193us","give_up_in":"1204993us","waiting":0}"#;
     let answer = r#"{"time_ms":1162,"node":"entry-1","decision":"answer","job":"JOB","request":"a2","answer":"completed","why":"all-done","after":"162ms","waited":"0s","late_by":"157ms","waiting":0,"room":74}"#;
     assert_eq!(
--- a/components/runner/src/journal.rs
+++ b/components/runner/src/decision_log.rs
@@ -13,22 +13,22 @@
 };
 use telemetry::Log;
 
-/// Usual lines a second that are written. What tells of a failure is written beyond it.
+/// Limit of routine lines per second. Lines about failures are written beyond it.
 const LINES_PER_SECOND: u32 = 1_000;
 
-/// The span that the limit counts for.
+/// The interval that the limit applies to.
 const SECOND: Span = Span::from_secs(1);
 
-/// Writes decisions to the log, at most so many usual ones a second.
+/// Writes decisions to the log and limits the rate of routine ones.
 #[derive(Debug)]
-pub struct Journal {
+pub struct DecisionLog {
     log: Log,
     node: Arc<str>,
-    budget: Mutex<Budget>,
+    rate_limit: Mutex<RateLimit>,
 }
 
 #[derive(Debug, Default)]
-struct Budget {
+struct RateLimit {
     since: Time,
     written: u32,
     left_out: u64,
@@ -48,19 +48,19 @@
     time_ms: u64,
     node: &'a str,
     decision: &'static str,
-    /// Usual lines that went over the limit in the latest second with any.
+    /// Routine lines over the limit in the latest second that had any.
     lines: u64,
-    /// Lines that the writer could not keep up with, since the start.
+    /// Lines dropped since the start because the writer could not keep up.
     dropped: u64,
 }
 
-impl Journal {
-    /// A journal of the process called `node`.
+impl DecisionLog {
+    /// Creates a log for the process called `node`.
     pub fn new(log: Log, node: &str) -> Self {
-        Self { log, node: node.into(), budget: Mutex::default() }
+        Self { log, node: node.into(), rate_limit: Mutex::default() }
     }
 
-    /// Writes a decision. Never waits.
+    /// Writes a decision. Never blocks.
     pub fn write(&self, now: Time, decision: &Decision) {
         if !self.admit(now, decision) {
             return;
@@ -74,9 +74,9 @@
     }
 
     fn admit(&self, now: Time, decision: &Decision) -> bool {
-        let mut budget = self.budget.lock();
-        if now.since(budget.since) >= SECOND {
-            let lines = std::mem::take(&mut budget.left_out);
+        let mut rate_limit = self.rate_limit.lock();
+        if now.since(rate_limit.since) >= SECOND {
+            let lines = std::mem::take(&mut rate_limit.left_out);
             if lines > 0 {
                 self.log.json(&LeftOut {
                     time_ms: unix_ms(),
@@ -86,18 +86,18 @@
                     dropped: self.log.dropped(),
                 });
             }
-            *budget = Budget { since: now, ..Budget::default() };
+            *rate_limit = RateLimit { since: now, ..RateLimit::default() };
         }
-        if is_usual(decision) && budget.written >= LINES_PER_SECOND {
-            budget.left_out += 1;
+        if is_usual(decision) && rate_limit.written >= LINES_PER_SECOND {
+            rate_limit.left_out += 1;
             return false;
         }
-        budget.written += 1;
+        rate_limit.written += 1;
         true
     }
 }
 
-/// Whether a decision is one of many that tell of nothing wrong.
+/// Whether a decision is a routine one that indicates no failure.
 fn is_usual(decision: &Decision) -> bool {
     match decision {
         Decision::Admit { .. } | Decision::Place { .. } | Decision::Start { .. } => true,
@@ -118,6 +118,6 @@
 
 /// Milliseconds since 1970.
 pub(crate) fn unix_ms() -> u64 {
-    // A clock before 1970 is told by the zero; the log goes on.
+    // A clock before 1970 is written as zero, so that logging continues.
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |span| span.as_millis() as u64)
 }
--- a/components/runner/src/engine.rs
+++ b/components/runner/src/engine.rs
@@ -1,14 +1,14 @@
-//! Hands events in and carries actions out.
+//! Feeds events to [`runs::Entry`] and carries out its actions.
 
-use crate::{Clock, Journal, Metrics, Orders, following::Following};
+use crate::{Clock, DecisionLog, Metrics, Orders, watch::ExecutorWatch};
 use async_channel::{Receiver, Sender};
 use link::{Incoming, Node};
 use parking_lot::Mutex;
 use runs::{
     Action, Entry, Event, Executor, Job, Message, Options,
-    action::{Look, Start},
+    action::{Poll, Start},
     entry::TICK,
-    executor::{Answered, Started},
+    executor::{Response, StartResponse},
     job::{Answer, Run},
 };
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -18,44 +18,44 @@
 };
 use std::sync::{Arc, OnceLock};
 
-// The logic asks for calls this often.
+// [`runs::Entry`] expects ticks at least this often.
 const _: () = assert!(timer::TICK.as_micros() <= TICK.0 as u128);
 
-/// Executors that are remembered beyond those listed, since runs may still be there.
-const REMEMBERED: usize = 64;
+/// Number of executors that are kept beyond the listed ones, since runs may still be there.
+const MAX_UNLISTED_EXECUTORS: usize = 64;
 
-/// What an engine is made of.
+/// The parts of an engine.
 pub struct Setup {
-    /// This process.
+    /// The data centre, entry and incarnation of this process.
     pub home: Home,
-    /// Limits of the logic.
+    /// Limits of the entry's logic.
     pub options: Options,
-    /// The edge towards executors.
+    /// Sends orders to executors.
     pub orders: Arc<dyn Orders>,
     /// The log of decisions.
-    pub journal: Journal,
-    /// The instruments.
+    pub decision_log: DecisionLog,
+    /// The metrics of this entry.
     pub metrics: Metrics,
 }
 
-/// Joins the logic with everything outside it.
+/// Connects [`runs::Entry`] with executors, peers and callers.
 pub struct Engine {
     core: Mutex<Core>,
     orders: Arc<dyn Orders>,
-    journal: Journal,
+    decision_log: DecisionLog,
     metrics: Metrics,
     clock: Clock,
     node: OnceLock<Arc<Node<Message>>>,
-    following: Following,
+    executor_watch: ExecutorWatch,
     exited: (Sender<()>, Receiver<()>),
 }
 
 struct Core {
     entry: Entry,
     waiters: FxHashMap<WaiterId, Waiter>,
-    next: u64,
+    latest_waiter: u64,
     executors: FxHashMap<EndpointId, Arc<Executor>>,
-    /// Kept for its memory.
+    /// Reused between events, to avoid allocations.
     actions: Vec<Action>,
 }
 
@@ -64,55 +64,55 @@
     answer: Sender<Answer>,
 }
 
-/// Tells the logic when a caller goes before its answer.
-struct Presence<'e> {
+/// Reports on drop that the caller has left, unless it has its answer.
+struct CallerGuard<'e> {
     engine: &'e Arc<Engine>,
     waiter: WaiterId,
 }
 
 impl Engine {
-    /// An engine without connections and executors.
+    /// Creates an engine without connections and executors.
     pub fn new(setup: Setup) -> Arc<Engine> {
         let clock = Clock;
         Arc::new(Engine {
             core: Mutex::new(Core {
                 entry: Entry::new(setup.home, setup.options, clock.now()),
                 waiters: FxHashMap::default(),
-                next: 0,
+                latest_waiter: 0,
                 executors: FxHashMap::default(),
                 actions: Vec::new(),
             }),
             orders: setup.orders,
-            journal: setup.journal,
+            decision_log: setup.decision_log,
             metrics: setup.metrics,
             clock,
             node: OnceLock::new(),
-            following: Following::default(),
+            executor_watch: ExecutorWatch::default(),
             exited: async_channel::bounded(1),
         })
     }
 
-    /// Runs a job to its end. Dropping the future tells the logic that the caller has gone.
+    /// Runs a job and returns its answer. Dropping the future counts as the caller leaving.
     pub async fn run(self: &Arc<Self>, job: impl FnOnce(Time) -> Job) -> Answer {
         let (sender, answer) = async_channel::bounded(1);
         let now = self.clock.now();
         let job = job(now);
         let waiter = {
             let mut core = self.core.lock();
-            core.next += 1;
-            let waiter = WaiterId(core.next);
+            core.latest_waiter += 1;
+            let waiter = WaiterId(core.latest_waiter);
             core.waiters.insert(waiter, Waiter { since: now, answer: sender });
             waiter
         };
-        let presence = Presence { engine: self, waiter };
+        let caller_guard = CallerGuard { engine: self, waiter };
         self.feed(Event::Submit { waiter, job });
         let answer = answer.recv().await;
-        drop(presence);
+        drop(caller_guard);
         // The sender is dropped without an answer only when the process ends.
         answer.unwrap_or(Answer::Failed)
     }
 
-    /// Hands an event in and carries out what follows from it.
+    /// Handles an event and carries out the actions that follow from it.
     pub fn feed(self: &Arc<Self>, event: Event) {
         let mut core = self.core.lock();
         let now = self.clock.now();
@@ -127,43 +127,43 @@
         core.actions = actions;
     }
 
-    /// Whether callers can be served.
+    /// Whether this entry can serve callers.
     pub fn can_serve(&self) -> bool {
         let core = self.core.lock();
         core.entry.can_serve() && !core.entry.is_leaving()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a drain has begun.
     pub fn is_leaving(&self) -> bool {
         self.core.lock().entry.is_leaving()
     }
 
-    /// Returns once a planned stop has finished.
+    /// Returns once a drain has finished.
     pub async fn exited(&self) {
-        // Nothing but the end is ever sent, and the sender lives as long as this.
+        // Only the end of the drain is ever sent, and the sender lives as long as the engine.
         let _ = self.exited.1.recv().await;
     }
 
-    /// Sends a message with a configuration to peers that know none as new and that this entry is to tell.
-    pub fn tell_behind(&self, version: u64, message: &Message) {
+    /// Sends a configuration message to the outdated peers that this entry has to send it to now.
+    pub fn send_to_outdated_peers(&self, version: u64, message: &Message) {
         let now = self.clock.now();
-        let behind = self.core.lock().entry.take_behind(now, version);
-        for peer in behind {
+        let outdated = self.core.lock().entry.take_outdated_peers(now, version);
+        for peer in outdated {
             self.send(peer, message);
         }
     }
 
-    /// Returns once the logic wants to know the executors, or wants to no longer.
-    pub async fn wants_executors(&self, wanted: bool) {
-        self.following.is(wanted).await;
+    /// Returns once the watch of executors' registrations has to be on (`true`) or off (`false`).
+    pub async fn wait_for_executor_watch(&self, wanted: bool) {
+        self.executor_watch.wait_for(wanted).await;
     }
 
-    /// The instruments.
+    /// The metrics of this entry.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Calls the logic at each tick, for good.
+    /// Feeds a tick to the entry at each interval. Never returns.
     pub async fn run_timer(self: Arc<Self>) {
         loop {
             timer::tick().await;
@@ -171,15 +171,15 @@
         }
     }
 
-    /// Connects the engine with the other entries and takes in what they say, until the node is
-    /// closed. `other` gets the messages that are not for the logic.
+    /// Connects the engine with the other entries and handles their messages until the node is
+    /// closed. `other` gets the messages that carry a configuration.
     pub async fn run_peers(
         self: Arc<Self>,
         node: Arc<Node<Message>>,
         incoming: Receiver<Incoming<Message>>,
         other: impl Fn(Message),
     ) {
-        // A second node would be a fault of the caller, and the first one stays.
+        // Calling this twice is a bug of the caller; the first node stays.
         let _ = self.node.set(node);
         while let Ok(event) = incoming.recv().await {
             match event {
@@ -190,7 +190,7 @@
                 }
                 Incoming::Message { from, message } => self.feed(Event::Message { from, message }),
                 Incoming::Failed { address, error } => {
-                    tracing::info!(%address, %error, "no connection to a peer");
+                    tracing::info!(%address, %error, "connection to a peer failed");
                 }
             }
         }
@@ -206,25 +206,25 @@
                 let executor = core.executors.get(&id).cloned();
                 self.spawn(self.clone().stop(executor, id, run, token));
             }
-            Action::Look(look) => {
-                let executor = core.executors.get(&look.executor).cloned();
-                self.spawn(self.clone().look(executor, look));
+            Action::Poll(poll) => {
+                let executor = core.executors.get(&poll.executor).cloned();
+                self.spawn(self.clone().poll(executor, poll));
             }
             Action::Answer { waiter, answer } => {
-                if let Some(entry) = core.waiters.remove(&waiter) {
-                    self.metrics.answered(answer, now.since(entry.since));
-                    // The caller may have gone.
-                    let _ = entry.answer.try_send(answer);
+                if let Some(waiter) = core.waiters.remove(&waiter) {
+                    self.metrics.answered(answer, now.since(waiter.since));
+                    // The caller may have left.
+                    let _ = waiter.answer.try_send(answer);
                 }
             }
             Action::Send { to, message } => self.send(to, &message),
-            Action::FollowExecutors(wanted) => self.following.set(wanted),
+            Action::WatchExecutors(wanted) => self.executor_watch.set(wanted),
             Action::Log(decision) => {
                 self.metrics.decided(&decision);
-                self.journal.write(now, &decision);
+                self.decision_log.write(now, &decision);
             }
             Action::Exit => {
-                // A full channel says the same.
+                // A full channel holds the same signal already.
                 let _ = self.exited.0.try_send(());
             }
         }
@@ -234,11 +234,11 @@
         if let Some(node) = self.node.get()
             && let Err(error) = node.send(to, message)
         {
-            tracing::info!(%to, %error, "a message to a peer was dropped");
+            tracing::info!(%to, %error, "dropped a message to a peer");
         }
     }
 
-    /// Carries an order out beside all else, and hands in what came of it.
+    /// Sends an order in a task of its own and feeds the result back.
     fn spawn(self: &Arc<Self>, order: impl Future<Output = Event> + Send + 'static) {
         let engine = self.clone();
         smol::spawn(async move { engine.feed(order.await) }).detach();
@@ -247,7 +247,7 @@
     async fn start(self: Arc<Self>, executor: Option<Arc<Executor>>, start: Start) -> Event {
         let reply = match &executor {
             Some(executor) => self.orders.start(executor, &start).await,
-            None => Started::Unsent,
+            None => StartResponse::Unsent,
         };
         self.metrics.started(&reply);
         let Start { executor, run, .. } = start;
@@ -263,36 +263,37 @@
     ) -> Event {
         let reply = match &executor {
             Some(executor) => self.orders.stop(executor, &run, token).await,
-            None => Answered::Silent,
+            None => Response::Silent,
         };
         self.metrics.stopped(&reply);
         Event::Stopped { executor: id, run, reply }
     }
 
-    async fn look(self: Arc<Self>, executor: Option<Arc<Executor>>, look: Look) -> Event {
+    async fn poll(self: Arc<Self>, executor: Option<Arc<Executor>>, poll: Poll) -> Event {
         let reply = match &executor {
-            Some(executor) => self.orders.look(executor, &look).await,
-            None => Answered::Silent,
+            Some(executor) => self.orders.poll(executor, &poll).await,
+            None => Response::Silent,
         };
-        self.metrics.looked(&reply);
-        let Look { executor, number, .. } = look;
-        Event::Looked { executor, number, reply }
+        self.metrics.polled(&reply);
+        let Poll { executor, number, .. } = poll;
+        Event::Polled { executor, number, reply }
     }
 }
 
 impl Core {
     fn remember(&mut self, executors: &[Executor]) {
-        if self.executors.len() > executors.len() + REMEMBERED {
+        if self.executors.len() > executors.len() + MAX_UNLISTED_EXECUTORS {
             let listed: FxHashSet<EndpointId> =
                 executors.iter().map(|executor| executor.id).collect();
             self.executors.retain(|id, _| listed.contains(id));
         }
-        let known = executors.iter().map(|executor| (executor.id, Arc::new(executor.clone())));
-        self.executors.extend(known);
+        let listed_executors =
+            executors.iter().map(|executor| (executor.id, Arc::new(executor.clone())));
+        self.executors.extend(listed_executors);
     }
 }
 
-impl Drop for Presence<'_> {
+impl Drop for CallerGuard<'_> {
     fn drop(&mut self) {
         let waits = self.engine.core.lock().waiters.remove(&self.waiter).is_some();
         if waits {
--- a/components/runner/src/lib.rs
+++ b/components/runner/src/lib.rs
@@ -1,17 +1,17 @@
-//! The process around [`runs::Entry`]: its clock, its timer, its connections.
+//! The process around [`runs::Entry`]: its clock, timer and connections.
 //!
-//! [`Engine`] hands events in and carries actions out. [`Orders`] is the edge towards executors;
-//! peers are reached through [`link::Node`].
+//! [`Engine`] feeds events to the entry and carries out its actions. [`Orders`] is the interface to
+//! executors; peers are reached through [`link::Node`].
 
 mod clock;
+mod decision_log;
 mod engine;
-mod following;
-mod journal;
 mod metrics;
 mod orders;
+mod watch;
 
 pub use clock::Clock;
+pub use decision_log::DecisionLog;
 pub use engine::{Engine, Setup};
-pub use journal::Journal;
 pub use metrics::Metrics;
 pub use orders::Orders;
--- a/components/runner/src/metrics.rs
+++ b/components/runner/src/metrics.rs
@@ -1,28 +1,28 @@
-//! What an entry counts.
+//! The metrics of an entry.
 
-use crate::journal::unix_ms;
+use crate::decision_log::unix_ms;
 use opentelemetry::{
     KeyValue,
     metrics::{Counter, Gauge, Histogram},
 };
 use runs::{
     Decision,
-    executor::{Answered, Started},
+    executor::{Response, StartResponse},
     job::Answer,
 };
 use site::unit::Span;
 use telemetry::{Exporter, MetricsError};
 
-/// Bounds of the response time histogram, in seconds.
+/// Bucket bounds of the response time histogram, in seconds.
 const RESPONSE_BOUNDS: [f64; 11] = [0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.8, 1.2, 1.6, 3.0];
 
-/// The instruments of one entry.
+/// The metrics of one entry.
 #[derive(Debug)]
 pub struct Metrics {
     exporter: Exporter,
     answers: Counter<u64>,
     starts: Counter<u64>,
-    looks: Counter<u64>,
+    polls: Counter<u64>,
     stops: Counter<u64>,
     failures: Counter<u64>,
     store: Counter<u64>,
@@ -32,7 +32,7 @@
 }
 
 impl Metrics {
-    /// Instruments with an exporter of their own.
+    /// Creates the metrics with an exporter of their own.
     ///
     /// # Errors
     ///
@@ -43,9 +43,9 @@
         let counter = |name, text| meter.u64_counter(name).with_description(text).build();
         Ok(Metrics {
             answers: counter("job_answers", "Jobs answered, by answer"),
-            starts: counter("run_starts", "Starts sent to executors, by their answer"),
-            looks: counter("executor_looks", "Looks at executors, by their answer"),
-            stops: counter("run_stops", "Stops sent to executors, by their answer"),
+            starts: counter("run_starts", "Starts sent to executors, by response"),
+            polls: counter("executor_looks", "Polls of executors, by response"),
+            stops: counter("run_stops", "Stops sent to executors, by response"),
             failures: counter("run_failures", "Runs that ended otherwise than well"),
             store: counter("store_calls", "Calls to the platform's store, by outcome"),
             response: meter
@@ -55,17 +55,17 @@
                 .build(),
             cordons: meter
                 .u64_gauge("cordoned_data_centres")
-                .with_description("Data centres where nothing is started, as far as is known here")
+                .with_description("Data centres under cordon, as known to this process")
                 .build(),
             cordons_since: meter
                 .f64_gauge("cordons_changed_timestamp_seconds")
-                .with_description("When this process last heard of a change of them")
+                .with_description("When this process last learnt of a change of the cordon")
                 .build(),
             exporter,
         })
     }
 
-    /// All metrics in Prometheus' text format.
+    /// All metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         self.exporter.render()
     }
 
-    /// A call to the store has ended.
+    /// Counts a call to the store.
     pub fn store_call(&self, outcome: &'static str) {
         self.store.add(1, &[KeyValue::new("outcome", outcome)]);
     }
@@ -95,37 +95,37 @@
             Answer::Completed => "completed",
             Answer::Failed => "failed",
             Answer::GivenUp => "given-up",
-            Answer::Refused { .. } => "refused",
+            Answer::Rejected { .. } => "refused",
         };
         self.answers.add(1, &[KeyValue::new("answer", name)]);
         self.response.record(span.0 as f64 / 1e6, &[]);
     }
 
-    pub(crate) fn started(&self, reply: &Started) {
+    pub(crate) fn started(&self, reply: &StartResponse) {
         let name = match reply {
-            Started::Running { .. } => "running",
-            Started::Refused { .. } => "refused",
-            Started::Unsent => "unsent",
-            Started::Unknown => "unknown",
-            Started::Gone => "gone",
+            StartResponse::Running { .. } => "running",
+            StartResponse::Refused { .. } => "refused",
+            StartResponse::Unsent => "unsent",
+            StartResponse::Unknown => "unknown",
+            StartResponse::Gone => "gone",
         };
         self.starts.add(1, &[KeyValue::new("reply", name)]);
     }
 
-    pub(crate) fn looked<T>(&self, reply: &Answered<T>) {
-        self.looks.add(1, &[KeyValue::new("reply", name(reply))]);
+    pub(crate) fn polled<T>(&self, reply: &Response<T>) {
+        self.polls.add(1, &[KeyValue::new("reply", name(reply))]);
     }
 
-    pub(crate) fn stopped<T>(&self, reply: &Answered<T>) {
+    pub(crate) fn stopped<T>(&self, reply: &Response<T>) {
         self.stops.add(1, &[KeyValue::new("reply", name(reply))]);
     }
 }
 
-fn name<T>(reply: &Answered<T>) -> &'static str {
+fn name<T>(reply: &Response<T>) -> &'static str {
     match reply {
-        Answered::Done(_) => "done",
-        Answered::Fenced => "fenced",
-        Answered::Silent => "silent",
-        Answered::Gone => "gone",
+        Response::Done(_) => "done",
+        Response::Fenced => "fenced",
+        Response::Silent => "silent",
+        Response::Gone => "gone",
     }
 }
--- a/components/runner/src/following.rs
+++ b/components/runner/src/watch.rs
@@ -1,24 +1,24 @@
-//! Whether the logic wants to know the executors, for the task that reads their registrations.
+//! Whether the entry needs the list of executors, for the task that watches their registrations.
 
 use event_listener::Event;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A wish that may be waited for.
+/// A flag whose changes can be awaited.
 #[derive(Debug, Default)]
-pub(crate) struct Following {
+pub(crate) struct ExecutorWatch {
     wanted: AtomicBool,
     changed: Event,
 }
 
-impl Following {
-    /// Changes the wish.
+impl ExecutorWatch {
+    /// Sets the flag.
     pub(crate) fn set(&self, wanted: bool) {
         self.wanted.store(wanted, Ordering::SeqCst);
         self.changed.notify(usize::MAX);
     }
 
-    /// Returns once the wish is this.
-    pub(crate) async fn is(&self, wanted: bool) {
+    /// Returns once the flag has this value.
+    pub(crate) async fn wait_for(&self, wanted: bool) {
         loop {
             let changed = self.changed.listen();
             if self.wanted.load(Ordering::SeqCst) == wanted {
--- a/components/runs/src/action.rs
+++ b/components/runs/src/action.rs
@@ -1,9 +1,9 @@
-//! What an entry wants done.
+//! The actions that [`crate::Entry`] asks its caller to carry out, and the decisions that it logs.
 
 use crate::{
     Message,
-    clock::Remote,
-    executor::{How, Refusal},
+    clock::RemoteTime,
+    executor::{Refusal, RunResult},
     job::{Answer, Run},
     message::End,
 };
@@ -15,245 +15,246 @@
 };
 use std::{fmt, sync::Arc};
 
-/// Something to be done outside the logic.
+/// An operation that the caller of [`crate::Entry::handle`] carries out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Start a run. Answered by one [`crate::Event::Started`].
+    /// Starts a run. Results in one [`crate::Event::Started`].
     Start(Start),
-    /// Stop a run. Answered by one [`crate::Event::Stopped`].
+    /// Stops a run. Results in one [`crate::Event::Stopped`].
     Stop {
-        /// Where.
+        /// The executor on which the run is.
         executor: EndpointId,
-        /// What.
+        /// The run to stop.
         run: Run,
-        /// Proves who keeps the executor.
+        /// Fencing token: proves that this entry is the executor's keeper.
         token: u64,
     },
-    /// Ask for an executor's lists and renew its lease. Answered by one [`crate::Event::Looked`].
-    Look(Look),
-    /// Give a caller its answer.
+    /// Polls an executor for its listing and renews its lease. Results in one
+    /// [`crate::Event::Polled`].
+    Poll(Poll),
+    /// Answers a caller.
     Answer {
-        /// Who waits.
+        /// The caller that waits.
         waiter: WaiterId,
-        /// The answer.
+        /// The result of its job.
         answer: Answer,
     },
-    /// Send a message to a peer, or drop it if there is no connection.
+    /// Sends a message to a peer. Dropped if there is no connection to it.
     Send {
-        /// The peer.
+        /// The receiving peer.
         to: Home,
-        /// What to say.
+        /// The message to send.
         message: Message,
     },
-    /// Begin to hand in the executors that there are, or cease to: an entry that keeps none need not know
-    /// them.
-    FollowExecutors(bool),
-    /// Write a line to the log.
+    /// Starts (`true`) or stops (`false`) delivering [`crate::Event::Executors`]. An entry that
+    /// keeps no executor does not need the list.
+    WatchExecutors(bool),
+    /// Writes a line to the decision log.
     Log(Decision),
-    /// A drain has finished.
+    /// Ends the process: a drain has finished.
     Exit,
 }
 
-/// Starts a run.
+/// The order to start a run on an executor.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// Where.
+    /// The executor that gets the order.
     pub executor: EndpointId,
-    /// What.
+    /// The run to start.
     pub run: Run,
-    /// What the task does.
+    /// What the task does, as the caller wrote it.
     pub spec: Arc<str>,
-    /// The executor's lease is to last until then, on its clock.
-    pub deadline: Remote,
-    /// Proves who keeps the executor.
+    /// When the executor's lease ends, on the executor's clock.
+    pub deadline: RemoteTime,
+    /// Fencing token: proves that this entry is the executor's keeper.
     pub token: u64,
 }
 
-/// Asks for an executor's lists.
+/// A request for an executor's listing.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
-    /// Where.
+pub struct Poll {
+    /// The executor to poll.
     pub executor: EndpointId,
-    /// Tells the looks at one executor apart.
+    /// Sequence number of the poll, counted per executor.
     pub number: u64,
-    /// Proves who keeps the executor.
+    /// Fencing token: proves that this entry is the executor's keeper.
     pub token: u64,
-    /// Ends up to this number may be forgotten.
+    /// The executor may forget ends up to this number.
     pub acknowledged: u64,
-    /// The executor's lease is to last until then, on its clock; `None` leaves it.
-    pub deadline: Option<Remote>,
-    /// How long the executor may hold back its answer while nothing ends.
+    /// When the executor's lease ends, on the executor's clock; `None` leaves the lease unchanged.
+    pub deadline: Option<RemoteTime>,
+    /// How long the executor may hold back its response while no run ends (long poll).
     pub wait: Span,
 }
 
-/// A decision and what it rests on, for the log.
+/// A decision with the data that it is based on, for the decision log.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "decision", rename_all = "kebab-case")]
 pub enum Decision {
-    /// A job came in. One that is turned away at once has its answer next.
+    /// A job arrived. If it is rejected at once, an `Answer` line follows.
     Admit {
-        /// The caller's name of the job.
+        /// The job's name, chosen by the caller.
         job: CompactString,
         /// The caller's id of the request.
         request: CompactString,
-        /// Its tasks.
+        /// Number of tasks.
         tasks: u16,
-        /// Its estimate for one task.
+        /// The caller's estimate for one task.
         estimate: Span,
-        /// Time until its answer is late.
+        /// Time until the deadline of its answer.
         due_in: Span,
         /// Time until nobody needs its answer.
         give_up_in: Span,
-        /// Jobs that wait here.
+        /// Jobs of this entry with pending tasks.
         waiting: usize,
-        /// How long it would wait for room by what is known; `None` without executors.
+        /// Expected wait for room, from the latest reports; `None` while no executor is known.
         foreseen: Option<Span>,
-        /// How long it may wait without being turned away.
+        /// Longest expected wait at which the job is still admitted.
         limit: Span,
     },
     /// Tasks of a job were sent to a keeper.
     Place {
-        /// The caller's name of the job.
+        /// The job's name, chosen by the caller.
         job: CompactString,
-        /// How many of its tasks.
+        /// Number of tasks sent.
         tasks: usize,
-        /// The keeper.
+        /// The keeper that they were sent to.
         #[serde(serialize_with = "text")]
         keeper: Home,
-        /// What it was believed to have room for.
+        /// How many such tasks the keeper had room for, by its latest report.
         room: u32,
-        /// How old that belief was.
+        /// Age of that report.
         age: Span,
     },
-    /// A task was started at an executor.
+    /// A task was started on an executor.
     Start {
-        /// The run.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// Where.
+        /// Name of the executor.
         executor: CompactString,
-        /// How long it had waited at its keeper.
+        /// How long the task was queued at its keeper.
         waited: Span,
-        /// Age of the reading of the executor's clock that the lease was reckoned by.
+        /// Age of the clock reading that the lease deadline is computed from.
         clock_age: Span,
     },
     /// An executor refused a start.
     StartRefused {
-        /// The run.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// Where.
+        /// Name of the executor.
         executor: CompactString,
-        /// Why.
+        /// The executor's reason.
         why: Refusal,
     },
-    /// A run ended otherwise than well.
+    /// A run ended other than successfully.
     RunEnded {
-        /// The run.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// Where.
+        /// Name of the executor.
         executor: CompactString,
-        /// How, as the executor or the lack of an answer says.
+        /// How it ended, as the executor listed it or as a missing response implies.
         how: Ending,
-        /// How long it ran.
+        /// Time since its start was sent.
         after: Span,
     },
     /// A run was stopped.
     StopRun {
-        /// The run.
+        /// The run, as task name and run number.
         run: CompactString,
-        /// Where.
+        /// Name of the executor.
         executor: CompactString,
-        /// Why.
+        /// Reason for the stop.
         why: StopCause,
     },
-    /// A task goes on with another run, or its job ends here.
+    /// A task's run ended unsuccessfully: the task runs again, or its job ends.
     TaskEnded {
-        /// The caller's name of the job.
+        /// The job's name, chosen by the caller.
         job: CompactString,
-        /// Position of the task.
+        /// Position of the task in the job, from 0.
         index: u16,
-        /// Its run.
+        /// Number of the run.
         run: u32,
-        /// How its keeper says it ended.
+        /// How the run ended, as its keeper reports.
         end: End,
-        /// How often it has failed.
+        /// How often the task has failed.
         failures: u16,
         /// Whether another run follows.
         again: bool,
     },
     /// A caller was answered.
     Answer {
-        /// The caller's name of the job.
+        /// The job's name, chosen by the caller.
         job: CompactString,
         /// The caller's id of the request.
         request: CompactString,
-        /// The answer.
+        /// The answer: `completed`, `failed`, `given-up` or `refused`.
         answer: &'static str,
-        /// Why.
+        /// Reason for the answer.
         why: Reason,
         /// Time since the job arrived here.
         after: Span,
-        /// The part of it before any task was sent to a keeper.
+        /// Part of that time until the first task was sent to a keeper.
         waited: Span,
-        /// Time by which it is late; zero if it is not.
+        /// Time since the deadline; zero if the answer is in time.
         late_by: Span,
-        /// Jobs that wait here.
+        /// Jobs of this entry with pending tasks.
         waiting: usize,
-        /// Room at all keepers, as far as known.
+        /// How many tasks of this job all keepers have room for, by their latest reports.
         room: u32,
     },
     /// A caller left before its answer.
     Left {
-        /// The caller's name of the job.
+        /// The job's name, chosen by the caller.
         job: CompactString,
         /// The caller's id of the request.
         request: CompactString,
-        /// Tasks that had been sent to keepers.
+        /// Tasks that were at keepers when the caller left.
         placed: usize,
     },
-    /// This entry begins or ceases to keep an executor.
+    /// This entry's relation to an executor that it keeps, or is about to keep, changed.
     Keep {
-        /// The executor.
+        /// Name of the executor.
         executor: CompactString,
-        /// What changed.
+        /// The change.
         change: KeepChange,
-        /// The fencing token.
+        /// This entry's fencing token for the executor.
         token: u64,
-        /// Runs that are there.
+        /// Runs that are on the executor, or may be.
         runs: usize,
     },
-    /// An executor's use changed.
+    /// The health state of an executor changed.
     Health {
-        /// The executor.
+        /// Name of the executor.
         executor: CompactString,
-        /// What changed.
+        /// The change, as the `Debug` output of `health::Change`.
         change: CompactString,
     },
-    /// The entries that share the executors changed.
+    /// The set of entries that keep executors changed.
     Members {
-        /// How many there are.
+        /// Number of those entries.
         members: usize,
-        /// Those that the store lists.
+        /// Number of entries that the store lists.
         listed: usize,
-        /// The revision of the store.
+        /// The store's revision.
         revision: u64,
     },
-    /// This entry begins or ceases to read the registrations of executors.
+    /// This entry starts or stops watching the registrations of executors.
     Follow {
-        /// Whether it reads them now.
+        /// Whether it watches them now.
         executors: bool,
     },
-    /// The data centres under cordon changed.
+    /// The set of data centres under cordon changed.
     Cordon {
-        /// Those under cordon now.
+        /// The data centres under cordon now.
         data_centres: Vec<DataCentreId>,
-        /// The revision of the store that this was read at.
+        /// The store's revision at which this was read.
         revision: Revision,
-        /// Who said so.
+        /// Where the change was learnt from.
         source: Source,
     },
-    /// The process did not run for a while.
+    /// The process did not run for a while, for example because its VM was suspended.
     Paused {
-        /// For how long.
+        /// How long it did not run.
         span: Span,
     },
 }
@@ -262,19 +263,19 @@
     serializer.collect_str(value)
 }
 
-/// How a run ended, and how that is known.
+/// How a run ended, and how the keeper knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
     /// The executor listed the end.
-    Listed(How),
-    /// The executor lists the run no longer, nor its end.
+    Listed(RunResult),
+    /// The executor lists neither the run nor its end.
     Missing,
-    /// The executor was silent until its lease must have lapsed.
+    /// The executor did not respond until its lease must have expired.
     LeaseOver,
-    /// The executor's life is over.
+    /// The executor's incarnation has ended.
     ExecutorGone,
-    /// Another entry keeps the executor now.
+    /// Another entry now keeps the executor.
     Fenced,
 }
 
@@ -282,15 +283,15 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StopCause {
-    /// The answer is no longer wanted.
+    /// Its home no longer wants the answer.
     Cancelled,
-    /// The job's home can't be reached.
+    /// Its home can't be reached.
     HomeLost,
-    /// The start was not answered and is not listed.
+    /// The start got no response and the run is not listed.
     StartLost,
-    /// It took several times its estimate.
+    /// It ran for several times its estimate.
     Overdue,
-    /// This entry found it and knows nothing of it.
+    /// This entry found it on the executor and does not know its task.
     Unknown,
 }
 
@@ -298,56 +299,56 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// All tasks ended well.
+    /// All tasks completed.
     AllDone,
-    /// A task failed as often as it may.
+    /// A task failed `max_failures` times.
     Failures,
-    /// Executors crashed under one of its tasks.
+    /// Several executors were lost while they ran one of its tasks.
     ExecutorsLost,
     /// It could not start in time.
     NoRoomInTime,
-    /// Too much waited when it came.
+    /// Too much work was pending when it arrived.
     Overload,
     /// All executors that could run its tasks are under cordon.
     Cordoned,
-    /// A run was lost and another would end too late.
+    /// A run was lost and another one would end too late.
     LostTooLate,
-    /// Time ran out while tasks ran.
+    /// Nobody needs the answer any more, and some task may have run.
     OutOfTime,
     /// The process did not run for a while.
     Paused,
 }
 
-/// Who told an entry something about the site.
+/// Where an entry learnt of a change of the cordon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
     /// The platform's store.
     Store,
-    /// Another entry.
+    /// A report of another entry.
     Peer,
 }
 
-/// What changed about an executor's keeping.
+/// What changed between this entry and an executor.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeepChange {
-    /// The former keeper is asked to hand it over.
+    /// The former keeper is asked to transfer the executor.
     Claim,
-    /// It is looked at before its first use.
+    /// The executor is polled before its first use.
     Look,
-    /// It is in use.
+    /// The executor is in use.
     Ready,
-    /// It was handed over to another entry.
+    /// The executor was transferred to another entry.
     Yield,
-    /// Another entry holds it with a higher token.
+    /// The executor was used by another entry with a higher token.
     Fenced,
-    /// It is gone from the platform's list, or another life answered.
+    /// The platform no longer lists the executor, or another incarnation responded.
     Gone,
-    /// It has begun a new life.
+    /// The executor has started a new incarnation.
     Reborn,
-    /// It does not answer.
+    /// The executor is unresponsive.
     Silent,
-    /// It answers again.
+    /// The executor responds again.
     Answers,
 }
--- a/components/runs/src/clock.rs
+++ b/components/runs/src/clock.rs
@@ -1,76 +1,76 @@
-//! The clock of another machine, as far as it is known.
+//! Bounds on the clocks of other machines.
 
 use site::unit::{Span, Time};
 
-/// By how much the other clock may run slow, in thousandths.
-const SLOWEST_PER_MILLE: u64 = 20;
+/// How much slower than this machine's clock another one may run, in thousandths.
+const MAX_SLOWNESS_PER_MILLE: u64 = 20;
 
-/// A time on an executor's steady clock, in its own milliseconds.
-pub type Remote = u64;
+/// A time on an executor's monotonic clock, in milliseconds.
+pub type RemoteTime = u64;
 
-/// How long a span on another clock may last on the own one.
-pub(crate) fn longest(span: Span) -> Span {
-    let per_mille = 1_000 - SLOWEST_PER_MILLE;
+/// Converts a span on another clock to the longest span that it may last on this machine's clock.
+pub(crate) fn max_local_span(span: Span) -> Span {
+    let per_mille = 1_000 - MAX_SLOWNESS_PER_MILLE;
     Span((span.0 * 1_000).div_ceil(per_mille))
 }
 
-/// What is known of an executor's clock: one reading, and when it arrived here.
+/// What is known of an executor's clock: one reading and its time of arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Clock {
-    reading: Remote,
+    reading: RemoteTime,
     received: Time,
 }
 
 impl Clock {
-    /// A reading that arrived at `received`. The clock showed it earlier, so it now shows at least
-    /// this.
-    pub fn new(reading: Remote, received: Time) -> Self {
+    /// Creates a clock from a reading that arrived at `received`. The executor took the reading
+    /// before that, so it is a lower bound.
+    pub fn new(reading: RemoteTime, received: Time) -> Self {
         Self { reading, received }
     }
 
-    /// Takes a newer reading in. Answers may overtake each other, so one that says less than is
-    /// known is left out.
-    pub fn update(&mut self, reading: Remote, received: Time) {
-        if reading >= self.least(received) {
+    /// Applies a newer reading. Responses may arrive out of order, so a reading below the known
+    /// lower bound is ignored.
+    pub fn update(&mut self, reading: RemoteTime, received: Time) {
+        if reading >= self.lower_bound(received) {
             *self = Self::new(reading, received);
         }
     }
 
-    /// What the clock shows now at least.
-    pub fn least(&self, now: Time) -> Remote {
+    /// Lower bound of what the clock shows at `now`.
+    pub fn lower_bound(&self, now: Time) -> RemoteTime {
         let passed = now.since(self.received).0 / 1_000;
-        self.reading + passed - passed * SLOWEST_PER_MILLE / 1_000
+        self.reading + passed - passed * MAX_SLOWNESS_PER_MILLE / 1_000
     }
 
-    /// A deadline `span` from now, never later than that on the other clock.
-    pub fn deadline(&self, now: Time, span: Span) -> Remote {
-        self.least(now) + span.0 / 1_000
+    /// A deadline `span` from now on the other clock. It may be too early, never too late.
+    pub fn deadline(&self, now: Time, span: Span) -> RemoteTime {
+        self.lower_bound(now) + span.0 / 1_000
     }
 
-    /// How old the reading is.
+    /// Age of the reading.
     pub fn age(&self, now: Time) -> Span {
         now.since(self.received)
     }
 }
 
-/// How another entry's clock relates to the own one: the least difference seen, which is that of
-/// the message with the shortest way.
+/// The offset between another entry's clock and this one: the smallest difference seen, which is
+/// that of the message with the shortest transit time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Offset {
-    /// Own time of arrival less the sender's time, wrapping; `None` before the first message.
-    least: Option<u64>,
+    /// Local arrival time minus the sender's time, wrapping; `None` before the first message.
+    min_difference: Option<u64>,
 }
 
 impl Offset {
-    /// How much longer than the quickest message one was on its way that was sent at `sent`.
+    /// Returns how much longer than the fastest message this one, sent at `sent`, was in transit.
     pub fn age(&mut self, now: Time, sent: Time) -> Span {
         let difference = now.0.wrapping_sub(sent.0);
-        let least = match self.least {
-            // Less by wrapping subtraction: the shorter way, whatever the clocks began at.
-            Some(least) if (difference.wrapping_sub(least) as i64) >= 0 => least,
+        let min_difference = match self.min_difference {
+            // Compared by wrapping subtraction, since the two clocks have unrelated origins.
+            Some(min) if (difference.wrapping_sub(min) as i64) >= 0 => min,
             _ => difference,
         };
-        self.least = Some(least);
-        Span(difference.wrapping_sub(least))
+        self.min_difference = Some(min_difference);
+        Span(difference.wrapping_sub(min_difference))
     }
 }
--- a/components/runs/src/cordon.rs
+++ b/components/runs/src/cordon.rs
@@ -1,22 +1,22 @@
-//! Data centres whose executors get no new work because an operator has said so.
+//! Data centres whose executors get no new work by order of the operator.
 
 use serde::{Deserialize, Serialize};
 use site::{id::DataCentreId, unit::Revision};
 
 /// The data centres under cordon at one revision of the platform's store.
 ///
-/// Tasks that run in one of them go on; none is started there until the cordon is lifted.
+/// Tasks that run in one of them continue; none is started there until the cordon is lifted.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Cordon {
-    /// The revision at which this held. What was read at a higher one supersedes it, whoever read
-    /// it.
+    /// The store's revision at which it was read. A cordon read at a higher revision supersedes it,
+    /// whichever entry read it.
     pub revision: Revision,
-    /// The data centres, sorted, each once.
+    /// The data centres, sorted and without duplicates.
     data_centres: Vec<DataCentreId>,
 }
 
 impl Cordon {
-    /// A cordon around `data_centres`, as read from the store at `revision`.
+    /// Creates a cordon of `data_centres` as read from the store at `revision`.
     pub fn new(revision: Revision, data_centres: impl IntoIterator<Item = DataCentreId>) -> Self {
         let mut data_centres: Vec<_> = data_centres.into_iter().collect();
         data_centres.sort_unstable();
@@ -34,13 +34,13 @@
         self.data_centres.contains(&data_centre)
     }
 
-    /// Whether it is around the same data centres as another one.
+    /// Whether both cover the same data centres.
     pub fn matches(&self, other: &Cordon) -> bool {
         self.data_centres == other.data_centres
     }
 
-    /// Takes a later one's place; returns whether the data centres differ. An earlier one, which
-    /// another entry may still believe, changes nothing.
+    /// Replaces this cordon by a later one and returns whether the data centres differ. An earlier
+    /// one, which another entry may still hold, is ignored.
     pub(crate) fn supersede(&mut self, later: Cordon) -> bool {
         if later.revision <= self.revision {
             return false;
--- a/components/runs/src/entry.rs
+++ b/components/runs/src/entry.rs
@@ -4,15 +4,15 @@
     Action, Cordon, Event, Message, Options,
     action::{Decision, Source},
     clock::Offset,
-    following::Following,
     home::Jobs,
     job::Task,
     keeper::Keeper,
-    laggards::Laggards,
     load::Load,
     message::{Ended, Moved, Report},
-    reports::{Audience, Reports},
+    outdated::OutdatedPeers,
+    reports::{Recipients, Reports},
     view::View,
+    watch::ExecutorWatch,
 };
 use rustc_hash::FxHashMap;
 use site::{
@@ -20,17 +20,17 @@
     unit::{Span, Time},
 };
 
-/// How often [`Event::Tick`] is due. Short against the shortest tasks, 50 ms.
+/// Interval of [`Event::Tick`]. Short compared with the shortest tasks, 50 ms.
 pub const TICK: Span = Span::from_millis(20);
 
-/// How often the executors that are kept are compared with the view without a change of either.
+/// Interval at which the kept executors are compared with the view when neither has changed.
 const RECONCILE_INTERVAL: Span = Span::from_secs(1);
 
-/// Clocks of peers that are remembered beyond their connections. Above the entries of a site and
-/// their restarts on an ordinary day.
-const MOST_CLOCKS: usize = 1_000;
+/// Number of peer clocks above which those of disconnected peers are dropped. Above the entries of
+/// a site and their restarts in a normal day.
+const MAX_CLOCKS: usize = 1_000;
 
-/// The whole logic of an entry.
+/// The state machine of an entry.
 #[derive(Debug)]
 pub struct Entry {
     me: Home,
@@ -39,24 +39,24 @@
     keeper: Keeper,
     view: View,
     configuration: u64,
-    /// When each connected peer was last heard of; none for one that is taken for lost.
-    heard: FxHashMap<Home, Time>,
-    /// The clocks of the connected peers.
+    /// Time of the latest message of each connected peer. A peer that is considered lost has none.
+    last_contact: FxHashMap<Home, Time>,
+    /// Clock offsets of peers, kept beyond their connections.
     clocks: FxHashMap<Home, Offset>,
-    /// The latest event.
-    latest: Time,
-    /// When the executors that are kept were last compared with the view.
+    /// Time of the latest event.
+    latest_event: Time,
+    /// When the kept executors were last compared with the view.
     reconciled: Time,
-    /// The view has changed since then.
+    /// Whether the view has changed since then.
     unreconciled: bool,
     reports: Reports,
-    laggards: Laggards,
-    following: Following,
+    outdated_peers: OutdatedPeers,
+    executor_watch: ExecutorWatch,
     exited: bool,
 }
 
 impl Entry {
-    /// An entry that knows of nothing yet.
+    /// Creates an entry that knows no peers, executors or jobs.
     pub fn new(me: Home, options: Options, now: Time) -> Self {
         Self {
             me,
@@ -65,48 +65,49 @@
             keeper: Keeper::new(options),
             view: View::new(me, options.keeper_reserve),
             configuration: 0,
-            heard: FxHashMap::default(),
+            last_contact: FxHashMap::default(),
             clocks: FxHashMap::default(),
-            latest: now,
+            latest_event: now,
             reconciled: now,
             unreconciled: false,
             reports: Reports::default(),
-            laggards: Laggards::default(),
-            following: Following::default(),
+            outdated_peers: OutdatedPeers::default(),
+            executor_watch: ExecutorWatch::default(),
             exited: false,
         }
     }
 
-    /// Takes an event in and appends what is to be done because of it.
+    /// Handles an event and appends the actions that follow from it.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        let span = now.since(self.latest);
+        let span = now.since(self.latest_event);
         if span > self.options.pause_limit {
-            self.pause(now, span, out);
+            self.handle_pause(now, span, out);
         }
-        self.latest = now;
-        self.lose_silent(now, out);
-        self.take(now, event, out);
-        self.settle(now, out);
-        self.follow(now, out);
+        self.latest_event = now;
+        self.drop_unresponsive_peers(now, out);
+        self.handle_event(now, event, out);
+        self.schedule(now, out);
+        self.update_watch(now, out);
     }
 
-    /// Whether the entry knows of peers or executors that can serve callers.
+    /// Whether the entry knows executors, its own or those of peers, that can run tasks.
     pub fn can_serve(&self) -> bool {
         self.keeper.capacity() > 0 || self.jobs.peers.capacity() > 0
     }
 
-    /// Whether it is about to stop.
+    /// Whether a drain has begun.
     pub fn is_leaving(&self) -> bool {
         self.view.is_leaving()
     }
 
-    /// Peers that know of no configuration as new as this and are to be told it by this entry now.
-    pub fn take_behind(&mut self, now: Time, version: u64) -> Vec<Home> {
+    /// Returns the peers that know an older configuration than `version` and that this entry has to
+    /// send it to now.
+    pub fn take_outdated_peers(&mut self, now: Time, version: u64) -> Vec<Home> {
         let known = self.jobs.peers.configurations();
-        self.laggards.take_due(now, self.me, version, known)
+        self.outdated_peers.take_due(now, self.me, version, known)
     }
 
-    fn take(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Submit { waiter, job } => {
                 let mut own = self.keeper.offer(now, &job);
@@ -121,9 +122,9 @@
                 self.keeper.set_executors(now, executors, out);
                 self.reconcile(now, out);
             }
-            Event::ExecutorsHeard(data_centres) => self.view.hear_executors(now, &data_centres),
+            Event::ExecutorsRenewed(data_centres) => self.view.record_renewals(now, &data_centres),
             Event::Members { revision, members } => {
-                let changed = self.view.list(revision, members);
+                let changed = self.view.set_listed(revision, members);
                 self.view_changed(now, changed, out);
             }
             Event::Processors(processors) => {
@@ -133,13 +134,13 @@
             Event::Started { executor, run, reply } => {
                 self.keeper.started(now, executor, &run, reply, out);
             }
-            Event::Looked { executor, number, reply } => {
-                self.keeper.looked(now, executor, number, reply, out);
+            Event::Polled { executor, number, reply } => {
+                self.keeper.polled(now, executor, number, reply, out);
             }
             Event::Stopped { executor, run, reply } => {
                 self.keeper.stopped(now, executor, &run, reply, out);
             }
-            Event::Message { from, message } => self.message(now, from, message, out),
+            Event::Message { from, message } => self.handle_message(now, from, message, out),
             Event::PeerUp { peer } => self.peer_up(now, peer, out),
             Event::PeerDown { peer } => self.peer_down(now, peer, out),
             Event::Configured { version, services } => {
@@ -156,19 +157,22 @@
         }
     }
 
-    /// Gives up what runs for peers that were not heard of. Comes before anything else, so that a
-    /// process that did not run for a while prolongs no lease for them.
-    fn lose_silent(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Stops what runs for peers that have sent nothing for too long. Runs before any other
+    /// handling, so that a process that did not run for a while renews no lease for them.
+    fn drop_unresponsive_peers(&mut self, now: Time, out: &mut Vec<Action>) {
         let limit = self.options.peer_silence;
-        let silent: Vec<_> =
-            self.heard.extract_if(|_, at| now.since(*at) > limit).map(|(peer, _)| peer).collect();
-        for peer in silent {
+        let unresponsive: Vec<_> = self
+            .last_contact
+            .extract_if(|_, at| now.since(*at) > limit)
+            .map(|(peer, _)| peer)
+            .collect();
+        for peer in unresponsive {
             self.keeper.home_lost(now, peer, out);
         }
     }
 
-    fn message(&mut self, now: Time, from: Home, message: Message, out: &mut Vec<Action>) {
-        self.heard.insert(from, now);
+    fn handle_message(&mut self, now: Time, from: Home, message: Message, out: &mut Vec<Action>) {
+        self.last_contact.insert(from, now);
         match message {
             Message::Place(placement) => {
                 let offset = self.clocks.entry(from).or_default();
@@ -182,23 +186,23 @@
                     self.keeper.cancel(now, &own, out);
                 }
             }
-            Message::Report(report) => self.reported(now, from, report, out),
-            Message::Claim(executors) => self.keeper.hand_over(now, from, &executors, out),
-            Message::Yield(yielded) => {
-                let moved = self.keeper.take_over(now, &self.view, yielded, out);
-                self.tell_moved(now, moved, out);
+            Message::Report(report) => self.handle_report(now, from, report, out),
+            Message::Claim(executors) => self.keeper.transfer(now, from, &executors, out),
+            Message::Transfer(transferred) => {
+                let moved = self.keeper.accept_transfer(now, &self.view, transferred, out);
+                self.send_moved(now, moved, out);
             }
             Message::Disclaim(executors) => self.keeper.disclaimed(now, from, &executors, out),
             Message::Moved(runs) => {
                 let own = self.jobs.moved(now, from, &runs, out);
                 self.keeper.cancel(now, &own, out);
             }
-            // Dealt with by the process, which reads the document.
+            // Handled by the process, which parses the document.
             Message::Configuration { .. } => {}
         }
     }
 
-    /// Takes in which data centres are under cordon, unless that is older than what is known.
+    /// Applies a cordon unless a later one is known.
     fn set_cordon(&mut self, now: Time, cordon: Cordon, source: Source, out: &mut Vec<Action>) {
         if !self.keeper.set_cordon(cordon) {
             return;
@@ -209,34 +213,34 @@
             revision: cordon.revision,
             source,
         }));
-        self.refuse_cordoned(now, out);
+        self.reject_cordoned(now, out);
     }
 
-    fn refuse_cordoned(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn reject_cordoned(&mut self, now: Time, out: &mut Vec<Action>) {
         let elsewhere = self.is_cordoned_elsewhere();
-        self.jobs.refuse_cordoned(now, |job| elsewhere || self.keeper.is_cordoned(job), out);
+        self.jobs.reject_cordoned(now, |job| elsewhere || self.keeper.is_cordoned(job), out);
     }
 
-    /// Whether this entry knows of no executor itself, and those who keep some say that all are under
-    /// cordon.
+    /// Whether this entry knows no executor itself, and all keepers among its peers report that
+    /// their executors are under cordon.
     fn is_cordoned_elsewhere(&self) -> bool {
         !self.keeper.knows_executors() && self.jobs.peers.are_cordoned()
     }
 
-    /// Begins or ceases to read the registrations of executors.
-    fn follow(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Starts or stops watching the registrations of executors.
+    fn update_watch(&mut self, now: Time, out: &mut Vec<Action>) {
         let keeps_nothing = self.keeper.keeps_nothing();
         if let Some(executors) =
-            self.following.update(now, &self.view, keeps_nothing, &self.options)
+            self.executor_watch.update(now, &self.view, keeps_nothing, &self.options)
         {
             out.push(Action::Log(Decision::Follow { executors }));
-            out.push(Action::FollowExecutors(executors));
+            out.push(Action::WatchExecutors(executors));
         }
     }
 
     fn peer_up(&mut self, now: Time, peer: Home, out: &mut Vec<Action>) {
         self.jobs.peers.connect(peer);
-        self.heard.insert(peer, now);
+        self.last_contact.insert(peer, now);
         let report = self.report(now);
         out.push(Action::Send { to: peer, message: Message::Report(report) });
         let changed = self.view.connect(peer);
@@ -245,10 +249,10 @@
 
     fn peer_down(&mut self, now: Time, peer: Home, out: &mut Vec<Action>) {
         self.jobs.peers.disconnect(peer);
-        self.heard.remove(&peer);
-        // A process's clock is worth knowing until the process is gone for good.
-        if self.clocks.len() > MOST_CLOCKS {
-            self.clocks.retain(|home, _| self.heard.contains_key(home));
+        self.last_contact.remove(&peer);
+        // A restored connection to the same process can use the offset again.
+        if self.clocks.len() > MAX_CLOCKS {
+            self.clocks.retain(|home, _| self.last_contact.contains_key(home));
         }
         self.jobs.keeper_lost(now, peer);
         self.keeper.home_lost(now, peer, out);
@@ -266,8 +270,8 @@
             listed: self.view.listed(),
             revision: self.view.revision().0,
         }));
-        // Changes of the view come in numbers, when many entries start or a data centre is cut
-        // off; each comparison takes time that grows with the executors.
+        // The view changes many times in a row when many entries start or a data centre is cut off,
+        // and the cost of each comparison grows with the number of executors.
         match now.since(self.reconciled) >= TICK {
             true => self.reconcile(now, out),
             false => self.unreconciled = true,
@@ -296,32 +300,32 @@
         self.jobs.is_empty() && self.keeper.is_idle()
     }
 
-    fn pause(&mut self, now: Time, span: Span, out: &mut Vec<Action>) {
+    fn handle_pause(&mut self, now: Time, span: Span, out: &mut Vec<Action>) {
         out.push(Action::Log(Decision::Paused { span }));
         let own = self.jobs.pause(now, out);
         self.keeper.cancel(now, &own, out);
         self.keeper.pause();
     }
 
-    /// Brings jobs and executors together until nothing changes any more, then tells the peers.
-    fn settle(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Places and starts tasks until nothing changes any more, then sends reports.
+    fn schedule(&mut self, now: Time, out: &mut Vec<Action>) {
         loop {
             let own = self.jobs.expire(now, out);
             self.keeper.cancel(now, &own, out);
             for placement in self.jobs.place(now, self.keeper.room(now), out) {
                 self.keeper.place(now, placement, false);
             }
-            self.keeper.pump(now, out);
+            self.keeper.start_queued(now, out);
             let ends = self.keeper.take_ends();
             if ends.is_empty() {
                 break;
             }
-            self.tell_homes(now, ends, out);
+            self.send_ends(now, ends, out);
         }
-        self.tell_room(now, out);
+        self.send_reports(now, out);
     }
 
-    fn tell_homes(&mut self, now: Time, ends: Vec<Ended>, out: &mut Vec<Action>) {
+    fn send_ends(&mut self, now: Time, ends: Vec<Ended>, out: &mut Vec<Action>) {
         let mut homes: FxHashMap<Home, Vec<Ended>> = FxHashMap::default();
         for ended in ends {
             homes.entry(ended.task.job.home).or_default().push(ended);
@@ -335,7 +339,7 @@
         out.extend(homes.into_iter().map(send));
     }
 
-    fn tell_moved(&mut self, now: Time, runs: Vec<Moved>, out: &mut Vec<Action>) {
+    fn send_moved(&mut self, now: Time, runs: Vec<Moved>, out: &mut Vec<Action>) {
         let mut homes: FxHashMap<Home, Vec<Moved>> = FxHashMap::default();
         for moved in runs {
             homes.entry(moved.task.job.home).or_default().push(moved);
@@ -354,7 +358,7 @@
             room: self.keeper.room(now),
             capacity: self.keeper.capacity(),
             load,
-            near: self.jobs.peers.summary(now, self.me.data_centre, load),
+            data_centre_load: self.jobs.peers.summary(now, self.me.data_centre, load),
             cordoned: self.keeper.is_all_cordoned(),
             leaving: self.view.is_leaving(),
             idle: self.keeper.keeps_nothing(),
@@ -364,39 +368,45 @@
         }
     }
 
-    /// The work that waits here, and how fast the executors here get through it.
+    /// The pending and queued work here, and how fast the executors kept here get through it.
     fn load(&self, now: Time) -> Load {
         [self.keeper.load(now), self.jobs.load()].into_iter().sum()
     }
 
-    fn tell_room(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn send_reports(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.jobs.peers.len() == 0 || !self.reports.may_be_due(now, &self.options) {
             return;
         }
         let report = self.report(now);
-        let audience = Audience {
+        let recipients = Recipients {
             by_distance: self.view.by_distance(),
-            waiting: self.jobs.peers.waiting().collect(),
+            pending: self.jobs.peers.with_pending().collect(),
             keepers: self.jobs.keepers(),
         };
-        let due =
-            self.reports.take_due(now, &report, self.keeper.supply(now), &audience, &self.options);
+        let due = self.reports.take_due(
+            now,
+            &report,
+            self.keeper.supply(now),
+            &recipients,
+            &self.options,
+        );
         out.extend(due.into_iter().map(|to| report_to(to, &report)));
     }
 
-    /// Takes a peer's report in. One whose jobs begin to wait is told of room here at once.
-    fn reported(&mut self, now: Time, from: Home, report: Report, out: &mut Vec<Action>) {
+    /// Handles a peer's report. A peer that begins to have pending tasks gets a report of the room
+    /// here at once.
+    fn handle_report(&mut self, now: Time, from: Home, report: Report, out: &mut Vec<Action>) {
         self.clocks.entry(from).or_default().age(now, report.sent);
-        self.view.see(report.revision);
+        self.view.observe_revision(report.revision);
         let changed = self.view.set_leaving(from, report.leaving);
         self.view.set_idle(from, report.idle);
         self.set_cordon(now, report.cordon.clone(), Source::Peer, out);
         let is_cordoned = report.cordoned;
-        let begins = self.jobs.peers.report(now, from, report);
+        let gains_work = self.jobs.peers.report(now, from, report);
         if is_cordoned && self.is_cordoned_elsewhere() {
-            self.refuse_cordoned(now, out);
+            self.reject_cordoned(now, out);
         }
-        if begins && !self.keeper.room(now).is_empty() {
+        if gains_work && !self.keeper.room(now).is_empty() {
             out.push(report_to(from, &self.report(now)));
         }
         self.view_changed(now, changed, out);
--- a/components/runs/src/event.rs
+++ b/components/runs/src/event.rs
@@ -1,8 +1,8 @@
-//! What an entry is told.
+//! The events that an entry handles.
 
 use crate::{
     Cordon, Executor, Job, Message,
-    executor::{Answered, Lists, Service, Started},
+    executor::{Listing, Response, Service, StartResponse},
     job::Run,
 };
 use site::{
@@ -10,88 +10,90 @@
     unit::{Cores, Revision},
 };
 
-/// Something that happened outside the logic.
+/// Something that happened outside the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller hands a job in. Answered by one [`crate::Action::Answer`] unless it leaves.
+    /// A caller submits a job. Results in one [`crate::Action::Answer`] unless the caller leaves.
     Submit {
-        /// Who waits for the answer.
+        /// Identifies the caller that waits for the answer.
         waiter: WaiterId,
-        /// The job.
+        /// The submitted job.
         job: Job,
     },
-    /// A caller has gone. Its job is stopped, since it may be handed in again elsewhere.
+    /// A caller has disconnected. Its job is stopped, since the caller may submit it again
+    /// elsewhere.
     Leave {
-        /// Who waited.
+        /// Identifies the caller that waited.
         waiter: WaiterId,
     },
-    /// All executors that are known now, replacing those before.
+    /// All executors that are registered now, replacing the previous list.
     Executors(Vec<Executor>),
-    /// Executors of these data centres have renewed their registrations, whatever these say.
-    ExecutorsHeard(Vec<DataCentreId>),
-    /// All entries that the platform's store lists now, replacing those before.
+    /// Executors of these data centres have renewed their registrations, changed or not.
+    ExecutorsRenewed(Vec<DataCentreId>),
+    /// All entries that the platform's store lists now, replacing the previous list.
     Members {
-        /// The revision of the store that the list is of.
+        /// The store's revision of the list.
         revision: Revision,
-        /// The entries.
+        /// The listed entries.
         members: Vec<Home>,
     },
-    /// The processor that entries may use, as far as they are listed now.
+    /// Processor available to each entry that is listed now.
     Processors(Vec<(EntryId, Cores)>),
-    /// The end of an [`crate::Action::Start`]. Follows each exactly once.
+    /// The result of an [`crate::Action::Start`]. Follows each exactly once.
     Started {
-        /// Where.
+        /// The executor that got the order.
         executor: EndpointId,
-        /// What.
+        /// The run that was to be started.
         run: Run,
-        /// The answer.
-        reply: Started,
+        /// The executor's response, or the lack of one.
+        reply: StartResponse,
     },
-    /// The end of an [`crate::Action::Look`]. Follows each exactly once.
-    Looked {
-        /// Where.
+    /// The result of an [`crate::Action::Poll`]. Follows each exactly once.
+    Polled {
+        /// The executor that was polled.
         executor: EndpointId,
-        /// The number of the look.
+        /// Sequence number of the poll.
         number: u64,
-        /// The answer.
-        reply: Answered<Lists>,
+        /// The executor's listing, or why there is none.
+        reply: Response<Listing>,
     },
-    /// The end of an [`crate::Action::Stop`]. Follows each exactly once.
+    /// The result of an [`crate::Action::Stop`]. Follows each exactly once.
     Stopped {
-        /// Where.
+        /// The executor that got the order.
         executor: EndpointId,
-        /// What.
+        /// The run that was to be stopped.
         run: Run,
-        /// The answer.
-        reply: Answered<()>,
+        /// The executor's response, or the lack of one.
+        reply: Response<()>,
     },
-    /// A peer sent a message. Messages of one connection arrive in the order they were sent.
+    /// A message of a peer. Messages of one connection arrive in the order in which they were sent.
     Message {
-        /// The sender, authenticated.
+        /// The authenticated sender.
         from: Home,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// A connection to a peer came up.
+    /// A connection to a peer is up.
     PeerUp {
-        /// The peer.
+        /// The connected peer.
         peer: Home,
     },
     /// The connection to a peer is lost.
     PeerDown {
-        /// The peer.
+        /// The disconnected peer.
         peer: Home,
     },
-    /// The operator's configuration has this version now.
+    /// A new version of the operator's configuration was read.
     Configured {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
         /// The services that it sends jobs to.
         services: Vec<Service>,
     },
-    /// The data centres under cordon, as the platform's store says.
+    /// The cordon, as read from the platform's store.
     Cordoned(Cordon),
-    /// Stop: keep no executor any more and finish what is open, then [`crate::Action::Exit`].
+    /// A planned stop: the entry keeps no executor any more, finishes its open jobs, then asks for
+    /// [`crate::Action::Exit`].
     Drain,
     /// Time has passed. Due every [`crate::entry::TICK`].
     Tick,
--- a/components/runs/src/executor.rs
+++ b/components/runs/src/executor.rs
@@ -1,6 +1,6 @@
-//! Executors, and what they say.
+//! Executors and their responses to orders.
 
-use crate::{clock::Remote, job::Run};
+use crate::{clock::RemoteTime, job::Run};
 use compact_str::CompactString;
 use derive_more::{Display, FromStr};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,8 @@
 };
 use std::net::SocketAddr;
 
-/// When a life of an executor began, in milliseconds since 1970 by its own clock.
+/// One incarnation of an executor, identified by its start time in milliseconds since 1970 by the
+/// executor's own clock.
 #[derive(
     Clone,
     Copy,
@@ -26,61 +27,62 @@
     Deserialize,
 )]
 #[serde(transparent)]
-pub struct Birth(pub u64);
+pub struct Incarnation(pub u64);
 
-/// An executor. After a crash it comes back under another name, or under the same one with another
-/// birth.
+/// An executor. After a crash it returns under another name, or under the same name with another
+/// incarnation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Executor {
-    /// Identifies it.
+    /// Derived from the name.
     pub id: EndpointId,
-    /// The name that `id` is made of.
+    /// The registered name.
     pub name: CompactString,
-    /// Tells its lives apart; `None` where the platform gives each life a name of its own.
-    pub born: Option<Birth>,
-    /// Where it takes orders.
+    /// Its current incarnation; `None` where the platform gives each incarnation a name of its own.
+    pub incarnation: Option<Incarnation>,
+    /// The address that it takes orders on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentreId,
-    /// Whose tasks it runs.
+    /// The service whose tasks it runs.
     pub service: ServiceId,
-    /// What its tasks may use together.
+    /// The resources that its tasks may use in total.
     pub capacity: Resources,
-    /// What it offers besides.
+    /// Labels that jobs can require.
     pub labels: Vec<CompactString>,
-    /// It is leaving and must get no new work.
+    /// Whether it is stopping and must get no new work.
     pub leaving: bool,
 }
 
-/// What all executors of a service have in common.
+/// Properties common to all executors of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// The service.
+    /// Identifies the service.
     pub id: ServiceId,
-    /// Its executors refuse what they have no room for. Others start whatever they are told to.
+    /// Whether its executors refuse a start that they have no room for. Otherwise they start
+    /// every task that they are ordered to.
     pub guards_capacity: bool,
 }
 
-/// How a start was answered.
+/// An executor's response to a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Started {
-    /// The run is there.
+pub enum StartResponse {
+    /// The run was started, or was running already.
     Running {
         /// The executor's clock.
-        clock: Remote,
+        clock: RemoteTime,
     },
     /// The executor refused; nothing runs because of this start.
     Refused {
-        /// The executor's clock, if it said so.
-        clock: Option<Remote>,
-        /// Why.
+        /// The executor's clock, if the response contained it.
+        clock: Option<RemoteTime>,
+        /// The executor's reason.
         why: Refusal,
     },
-    /// Nothing of it left this process.
+    /// No part of the order left this process.
     Unsent,
-    /// No answer: it may have been carried out, or may be later.
+    /// No response: the order may have been carried out, or may still be.
     Unknown,
-    /// Another life of the executor answered, so this one is over.
+    /// Another incarnation of the executor responded, so the one that was addressed has ended.
     Gone,
 }
 
@@ -90,77 +92,78 @@
 pub enum Refusal {
     /// Another entry holds the executor with a higher fencing token.
     Fenced,
-    /// A run with this number or a higher one has ended or was stopped there.
+    /// A run of the task with this number or a higher one has ended or was stopped there.
     OldRun,
-    /// The deadline had passed.
+    /// The lease deadline of the start had passed.
     Late,
-    /// No room.
+    /// The executor has no room for the task.
     Room,
     /// The executor is unhealthy.
     Unhealthy,
-    /// The executor can't make sense of the start.
+    /// The executor considers the start invalid.
     Invalid,
 }
 
-/// How a look or a stop was answered.
+/// An executor's response to a poll or a stop.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Answered<T> {
-    /// It was carried out.
+pub enum Response<T> {
+    /// The order was carried out.
     Done(T),
     /// Another entry holds the executor with a higher fencing token.
     Fenced,
-    /// No answer, or none that makes sense.
+    /// No response, or an invalid one.
     Silent,
-    /// Another life of the executor answered, so this one is over.
+    /// Another incarnation of the executor responded, so the one that was addressed has ended.
     Gone,
 }
 
-/// What an executor lists.
+/// What runs on an executor, and what has ended there.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Lists {
+pub struct Listing {
     /// The executor's clock.
-    pub clock: Remote,
-    /// The life that answers, where lives share a name.
-    pub born: Option<Birth>,
-    /// Runs that are there.
+    pub clock: RemoteTime,
+    /// The incarnation that responded; `None` where each incarnation registers under a name of its
+    /// own.
+    pub incarnation: Option<Incarnation>,
+    /// Runs that have not ended.
     pub running: Vec<Run>,
-    /// Ends that were not acknowledged yet, in order.
+    /// Ends that are not acknowledged yet, in order.
     pub ended: Vec<Ended>,
 }
 
-/// One end in an executor's list.
+/// The end of a run, as listed by its executor.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ended {
-    /// Counts the ends of this life of the executor, from 1.
+    /// Sequence number of the end in this incarnation of the executor, from 1.
     pub number: u64,
-    /// What ended; `None` for a task that is none of ours.
+    /// The run that ended; `None` if its task name is not one of this dispatcher's.
     pub run: Option<Run>,
-    /// How.
-    pub how: How,
+    /// How the run ended.
+    pub result: RunResult,
 }
 
-/// How a run ended.
+/// How a run ended, as reported by its executor.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum How {
-    /// Well.
+pub enum RunResult {
+    /// It completed.
     Done,
-    /// It failed, through its own fault or the executor's.
+    /// It failed, because of the task or the executor.
     Failed,
     /// It was stopped.
     Stopped,
-    /// The executor's lease lapsed.
+    /// The executor's lease expired.
     Lapsed,
 }
 
-impl<T> Answered<T> {
-    /// The same with another content.
-    pub fn map<U>(self, content: impl FnOnce(T) -> U) -> Answered<U> {
+impl<T> Response<T> {
+    /// Maps the content of a successful response.
+    pub fn map<U>(self, content: impl FnOnce(T) -> U) -> Response<U> {
         match self {
-            Answered::Done(value) => Answered::Done(content(value)),
-            Answered::Fenced => Answered::Fenced,
-            Answered::Silent => Answered::Silent,
-            Answered::Gone => Answered::Gone,
+            Response::Done(value) => Response::Done(content(value)),
+            Response::Fenced => Response::Fenced,
+            Response::Silent => Response::Silent,
+            Response::Gone => Response::Gone,
         }
     }
 }
--- a/components/runs/src/home/job.rs
+++ b/components/runs/src/home/job.rs
@@ -1,4 +1,4 @@
-//! One job that this entry answers for.
+//! One open job of this entry.
 
 use crate::{
     Options,
@@ -10,58 +10,58 @@
 };
 use std::sync::Arc;
 
-/// A task that its keeper has kept for this long runs: one that can't be started is handed back
-/// after 10 ms.
-const START_TIME: Span = Span::from_millis(50);
+/// A task that has been at its keeper for this long is running: one that can't be started is handed
+/// back after 10 ms.
+const ASSUMED_RUNNING_AFTER: Span = Span::from_millis(50);
 
-/// A job whose caller waits.
+/// A job whose caller waits for the answer.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct OpenJob {
     pub(crate) key: Key,
     pub(crate) job: Arc<Job>,
     pub(crate) waiter: WaiterId,
     pub(crate) arrived: Time,
-    pub(crate) tasks: Vec<Task>,
-    /// Some task has run, or may have.
+    pub(crate) tasks: Vec<OpenTask>,
+    /// Whether some task has run, or may have.
     pub(crate) ran: bool,
     /// When the first task was sent to a keeper.
     pub(crate) placed_at: Option<Time>,
 }
 
-/// A task of a job.
+/// A task of an open job.
 #[derive(Debug)]
-pub(crate) struct Task {
-    pub(crate) state: State,
+pub(crate) struct OpenTask {
+    pub(crate) state: TaskState,
     /// Number of its next run.
     pub(crate) run: u32,
     pub(crate) failures: u16,
-    /// Executors that were lost under it.
+    /// Number of executors that were lost while they ran it.
     pub(crate) executors_lost: u16,
-    /// Where earlier runs went wrong.
+    /// Executors on which earlier runs failed or were lost.
     pub(crate) avoid: Vec<EndpointId>,
 }
 
-/// How far a task is.
+/// Progress of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum State {
-    /// It is to be sent to a keeper.
-    Waiting {
-        /// Not before then: an earlier run may still be there.
+pub(crate) enum TaskState {
+    /// It has to be sent to a keeper.
+    Pending {
+        /// Not before this time: an earlier run may not have ended.
         from: Time,
     },
     /// A keeper has it.
     Placed {
-        /// Which.
+        /// The keeper that has it.
         keeper: Home,
     },
-    /// It ended well.
+    /// It completed.
     Done,
 }
 
-impl Open {
+impl OpenJob {
     pub(crate) fn new(now: Time, key: Key, waiter: WaiterId, job: Job) -> Self {
-        let task = || Task {
-            state: State::Waiting { from: now },
+        let task = || OpenTask {
+            state: TaskState::Pending { from: now },
             run: job.first_run,
             failures: 0,
             executors_lost: 0,
@@ -72,65 +72,69 @@
     }
 
     /// Positions of the tasks that may be sent now.
-    pub(crate) fn waiting(&self, now: Time) -> Vec<u16> {
-        let waits = |task: &Task| matches!(task.state, State::Waiting { from } if from <= now);
+    pub(crate) fn pending(&self, now: Time) -> Vec<u16> {
+        let is_pending =
+            |task: &OpenTask| matches!(task.state, TaskState::Pending { from } if from <= now);
         let tasks = self.tasks.iter().enumerate();
-        tasks.filter(|(_, task)| waits(task)).map(|(index, _)| index as u16).collect()
+        tasks.filter(|(_, task)| is_pending(task)).map(|(index, _)| index as u16).collect()
     }
 
-    pub(crate) fn has_waiting_now(&self, now: Time) -> bool {
-        let waits = |task: &Task| matches!(task.state, State::Waiting { from } if from <= now);
-        self.tasks.iter().any(waits)
+    pub(crate) fn has_pending_now(&self, now: Time) -> bool {
+        let is_pending =
+            |task: &OpenTask| matches!(task.state, TaskState::Pending { from } if from <= now);
+        self.tasks.iter().any(is_pending)
     }
 
-    pub(crate) fn has_waiting(&self) -> bool {
-        self.tasks.iter().any(|task| matches!(task.state, State::Waiting { .. }))
+    pub(crate) fn has_pending(&self) -> bool {
+        self.tasks.iter().any(|task| matches!(task.state, TaskState::Pending { .. }))
     }
 
-    /// Thousandths of a core that its waiting tasks need.
-    pub(crate) fn cores_waiting(&self) -> u64 {
-        let waits = |task: &&Task| matches!(task.state, State::Waiting { .. });
-        self.tasks.iter().filter(waits).count() as u64 * u64::from(self.job.needs.cores.0)
+    /// Thousandths of a core that its pending tasks need.
+    pub(crate) fn pending_cores(&self) -> u64 {
+        let is_pending = |task: &&OpenTask| matches!(task.state, TaskState::Pending { .. });
+        self.tasks.iter().filter(is_pending).count() as u64 * u64::from(self.job.needs.cores.0)
     }
 
     pub(crate) fn is_done(&self) -> bool {
-        self.tasks.iter().all(|task| task.state == State::Done)
+        self.tasks.iter().all(|task| task.state == TaskState::Done)
     }
 
     /// Tasks that keepers have, with their keepers.
     pub(crate) fn placed(&self) -> impl Iterator<Item = (Home, job::Task)> {
         let job = self.key;
         self.tasks.iter().enumerate().filter_map(move |(index, task)| match task.state {
-            State::Placed { keeper } => Some((keeper, job::Task { job, index: index as u16 })),
+            TaskState::Placed { keeper } => Some((keeper, job::Task { job, index: index as u16 })),
             _ => None,
         })
     }
 
-    /// Whether no task has run, nor will unless it is sent to a keeper.
-    pub(crate) fn is_untouched(&self) -> bool {
+    /// Whether no task has run, and none can without being sent to a keeper.
+    pub(crate) fn is_unstarted(&self) -> bool {
         !self.ran && self.placed().next().is_none()
     }
 
-    /// Whether some task has run, or surely runs. Such jobs go first, so that what has run is not in
-    /// vain.
+    /// Whether some task has run or is certainly running. Such jobs have precedence, so that their
+    /// completed tasks are not wasted.
     pub(crate) fn has_begun(&self, now: Time) -> bool {
-        let runs = |at: Time| now.since(at) > START_TIME && self.placed().next().is_some();
+        let runs =
+            |at: Time| now.since(at) > ASSUMED_RUNNING_AFTER && self.placed().next().is_some();
         self.ran || self.placed_at.is_some_and(runs)
     }
 
-    /// Whether the job has waited for its first start for so long that its caller is better off
-    /// with a refusal.
-    pub(crate) fn has_waited_enough(&self, now: Time, percent: u64) -> bool {
-        let patience = self.job.due.since(self.arrived).0 * percent / 100;
-        self.is_untouched() && now.since(self.arrived) > Span(patience)
+    /// Whether the job has waited for its first start for so long that a rejection serves its
+    /// caller better.
+    pub(crate) fn exceeds_wait_limit(&self, now: Time, percent: u64) -> bool {
+        let limit = self.job.due.since(self.arrived).0 * percent / 100;
+        self.is_unstarted() && now.since(self.arrived) > Span(limit)
     }
 
-    /// Whether a task that starts now ends too late for anyone, by the estimate.
+    /// Whether a task that starts now would end, by the estimate, after its answer is needed.
     pub(crate) fn is_too_late(&self, now: Time) -> bool {
         now + self.job.estimate > self.job.give_up
     }
 
-    /// Sorts jobs that have begun first, then what can still be in time, the most pressing first.
+    /// Sort key: jobs that have begun first, then those that can still be in time, then by latest
+    /// start.
     pub(crate) fn rank(&self, now: Time, options: &Options) -> (bool, bool, Time, Key) {
         let begun = options.begun_first && self.has_begun(now);
         let start_by = self.job.start_by(options.caution_percent);
--- a/components/runs/src/home/mod.rs
+++ b/components/runs/src/home/mod.rs
@@ -1,10 +1,10 @@
-//! The jobs that this entry answers for.
+//! The home role of an entry: the open jobs that it answers.
 
 mod admission;
-mod excess;
 mod job;
 mod peer;
 mod place;
+mod retry_delays;
 
 pub(crate) use peer::Peers;
 
@@ -17,29 +17,29 @@
     message::{End, Ended, Moved, Room},
 };
 use admission::Admission;
-use excess::Excess;
-use job::{Open, State};
+use job::{OpenJob, TaskState};
+use retry_delays::RetryDelays;
 use rustc_hash::{FxHashMap, FxHashSet};
 use site::{
     id::{Home, WaiterId},
     unit::Time,
 };
 
-/// A task under which so many executors were lost is given up: it may be what crashes them, and each
-/// crash ends all that runs beside it.
-const MOST_EXECUTORS_LOST: u16 = 2;
+/// A job is given up when this many executors were lost under one of its tasks: the task may be
+/// what crashes them, and each crash ends everything else that runs on the executor.
+const MAX_EXECUTORS_LOST: u16 = 2;
 
-/// The jobs that this entry answers for.
+/// The open jobs that this entry answers.
 #[derive(Debug)]
 pub(crate) struct Jobs {
     me: Home,
     options: Options,
-    open: FxHashMap<u64, Open>,
+    open: FxHashMap<u64, OpenJob>,
     waiters: FxHashMap<WaiterId, u64>,
-    /// The number of the next job.
-    next: u64,
+    /// Number of the latest job.
+    latest_number: u64,
     admission: Admission,
-    excess: Excess,
+    retry_delays: RetryDelays,
     pub(crate) peers: Peers,
 }
 
@@ -50,9 +50,9 @@
             options,
             open: FxHashMap::default(),
             waiters: FxHashMap::default(),
-            next: 0,
+            latest_number: 0,
             admission: Admission::default(),
-            excess: Excess::default(),
+            retry_delays: RetryDelays::default(),
             peers: Peers::default(),
         }
     }
@@ -63,10 +63,10 @@
 
     /// Entries that have tasks of open jobs.
     pub(crate) fn keepers(&self) -> FxHashSet<Home> {
-        self.open.values().flat_map(Open::placed).map(|(keeper, _)| keeper).collect()
+        self.open.values().flat_map(OpenJob::placed).map(|(keeper, _)| keeper).collect()
     }
 
-    /// Takes a job in, or turns it away. `own` is what this entry's executors offer it.
+    /// Admits a job, or rejects it. `own` is what this entry's executors offer it.
     pub(crate) fn submit(
         &mut self,
         now: Time,
@@ -75,14 +75,14 @@
         own: &Offer,
         out: &mut Vec<Action>,
     ) {
-        self.next += 1;
-        let key = Key { home: self.me, number: self.next };
+        self.latest_number += 1;
+        let key = Key { home: self.me, number: self.latest_number };
         let own_load = [own.load, self.load()].into_iter().sum();
         let load = self.peers.site_load(now, self.me.data_centre, own_load);
         let slack = job.start_by(self.options.caution_percent).since(now);
-        let outlook = self.admission.outlook(job.estimate, slack, &load);
+        let estimate = self.admission.estimate_wait(job.estimate, slack, &load);
         let has_room = self.options.fill && self.has_room(now, &own.room, &job);
-        let accepted = !self.options.admission || has_room || outlook.is_fair();
+        let admitted = !self.options.admission || has_room || estimate.is_acceptable();
         out.push(Action::Log(Decision::Admit {
             job: job.name.clone(),
             request: job.request.clone(),
@@ -90,29 +90,29 @@
             estimate: job.estimate,
             due_in: job.due.since(now),
             give_up_in: job.give_up.since(now),
-            waiting: self.waiting(),
-            foreseen: outlook.wait,
-            limit: outlook.limit,
+            waiting: self.pending_jobs(),
+            foreseen: estimate.wait,
+            limit: estimate.limit,
         }));
         self.waiters.insert(waiter, key.number);
-        self.open.insert(key.number, Open::new(now, key, waiter, job));
-        let refusal = match (own.is_cordoned, accepted) {
+        self.open.insert(key.number, OpenJob::new(now, key, waiter, job));
+        let rejection = match (own.is_cordoned, admitted) {
             (true, _) => Reason::Cordoned,
             (false, false) => Reason::Overload,
             (false, true) => return,
         };
-        self.finish(now, key.number, refusal, out);
+        self.finish(now, key.number, rejection, out);
     }
 
-    /// Refuses the jobs that wait for executors that have come under cordon. Those of which some task
-    /// may have run wait for as long as they can.
-    pub(crate) fn refuse_cordoned(
+    /// Rejects pending jobs whose executors have all come under cordon. Jobs with a task that may
+    /// have run stay pending for as long as possible.
+    pub(crate) fn reject_cordoned(
         &mut self,
         now: Time,
         is_cordoned: impl Fn(&Job) -> bool,
         out: &mut Vec<Action>,
     ) {
-        let waits = |open: &Open| open.is_untouched() && is_cordoned(&open.job);
+        let waits = |open: &OpenJob| open.is_unstarted() && is_cordoned(&open.job);
         let waiting: Vec<_> =
             self.open.iter().filter(|(_, open)| waits(open)).map(|(number, _)| *number).collect();
         for number in waiting {
@@ -120,20 +120,21 @@
         }
     }
 
-    /// Whether all tasks of a job can be started at once. Jobs that wait here can't use such room, or
-    /// they would have.
+    /// Whether all tasks of a job can be started at once. Pending jobs can't use that room, or they
+    /// would have been placed.
     fn has_room(&self, now: Time, own: &Room, job: &Job) -> bool {
         let rooms = self.peers.with_room(now).map(|(_, room)| room).chain([own]);
         let room: u32 = rooms.map(|room| room.count(job.needs.cores.0)).sum();
         room >= u32::from(job.tasks)
     }
 
-    /// The work that waits here.
+    /// The pending work here.
     pub(crate) fn load(&self) -> Load {
-        Load { waiting: self.open.values().map(Open::cores_waiting).sum(), ..Load::default() }
+        Load { pending: self.open.values().map(OpenJob::pending_cores).sum(), ..Load::default() }
     }
 
-    /// A caller has gone: its job is stopped.
+    /// Drops the job of a caller that has left. Returns tasks of this entry's own executors to
+    /// cancel.
     pub(crate) fn leave(&mut self, waiter: WaiterId, out: &mut Vec<Action>) -> Vec<Task> {
         let Some(open) = self.waiters.remove(&waiter).and_then(|number| self.open.remove(&number))
         else {
@@ -145,7 +146,8 @@
         self.cancel_placed(&open, out)
     }
 
-    /// Takes in what became of tasks. Returns tasks of this entry's own executors to cancel.
+    /// Handles the end of a task at a keeper. Returns tasks of this entry's own executors to
+    /// cancel.
     pub(crate) fn ended(
         &mut self,
         now: Time,
@@ -158,17 +160,17 @@
             return Vec::new();
         };
         // A keeper may still have an earlier run than the one that was placed there.
-        if task.state != (State::Placed { keeper: from }) || ended.run < task.run {
+        if task.state != (TaskState::Placed { keeper: from }) || ended.run < task.run {
             return Vec::new();
         }
         task.run = task.run.max(ended.run + 1);
         open.ran |= ended.end != End::NotRun;
         task.state = match ended.end {
-            End::Done => State::Done,
+            End::Done => TaskState::Done,
             End::Failed | End::Lost | End::ExecutorLost | End::NotRun => {
-                State::Waiting { from: now }
+                TaskState::Pending { from: now }
             }
-            End::Unsure => State::Waiting { from: now + self.options.unsure_wait },
+            End::Unsure => TaskState::Pending { from: now + self.options.unsure_wait },
         };
         match ended.end {
             End::Failed => task.failures += 1,
@@ -185,7 +187,7 @@
             };
         }
         let failures = task.failures;
-        let hopeless = match task.executors_lost >= MOST_EXECUTORS_LOST {
+        let fatal = match task.executors_lost >= MAX_EXECUTORS_LOST {
             true => Some(Reason::ExecutorsLost),
             false => (failures >= open.job.max_failures).then_some(Reason::Failures),
         };
@@ -196,17 +198,17 @@
             run: ended.run,
             end: ended.end,
             failures,
-            again: hopeless.is_none() && !late,
+            again: fatal.is_none() && !late,
         }));
-        match (hopeless, late) {
+        match (fatal, late) {
             (Some(why), _) => self.finish(now, ended.task.job.number, why, out),
             (None, true) => self.finish(now, ended.task.job.number, Reason::LostTooLate, out),
             (None, false) => Vec::new(),
         }
     }
 
-    /// Another keeper now has these runs. Those that nobody waits for any more are cancelled there;
-    /// returns the ones at this entry's own executors.
+    /// Another keeper now has these runs. Cancels those that are no longer wanted there; returns
+    /// the ones to cancel on this entry's own executors.
     pub(crate) fn moved(
         &mut self,
         now: Time,
@@ -214,7 +216,7 @@
         runs: &[Moved],
         out: &mut Vec<Action>,
     ) -> Vec<Task> {
-        let unwanted = |moved: &&Moved| !self.follow(now, to, moved);
+        let unwanted = |moved: &&Moved| !self.record_move(now, to, moved);
         let tasks: Vec<_> = runs.iter().filter(unwanted).map(|moved| moved.task).collect();
         if to == self.me || tasks.is_empty() {
             return tasks;
@@ -223,37 +225,38 @@
         Vec::new()
     }
 
-    /// Notes the new keeper of a run; returns whether the run is still wanted there.
-    fn follow(&mut self, now: Time, to: Home, moved: &Moved) -> bool {
+    /// Records the new keeper of a run; returns whether the run is still wanted there.
+    fn record_move(&mut self, now: Time, to: Home, moved: &Moved) -> bool {
         let stop_by = now + self.options.unsure_wait;
         let open = self.open.get_mut(&moved.task.job.number);
         let task = open.and_then(|open| open.tasks.get_mut(usize::from(moved.task.index)));
         let Some(task) = task else { return false };
         match task.state {
-            State::Done => false,
-            // The next run has a keeper already, which may be this one.
-            State::Placed { keeper } if moved.run < task.run => keeper == to,
-            // Runs after it were placed already, so that its number must not count again.
-            State::Waiting { from } if moved.run + 1 < task.run => {
-                task.state = State::Waiting { from: from.max(stop_by) };
+            TaskState::Done => false,
+            // The next run has a keeper already, possibly this one.
+            TaskState::Placed { keeper } if moved.run < task.run => keeper == to,
+            // Later runs were placed already, so this run's number must not be used for the next
+            // one.
+            TaskState::Pending { from } if moved.run + 1 < task.run => {
+                task.state = TaskState::Pending { from: from.max(stop_by) };
                 false
             }
-            State::Placed { .. } | State::Waiting { .. } => {
-                task.state = State::Placed { keeper: to };
+            TaskState::Placed { .. } | TaskState::Pending { .. } => {
+                task.state = TaskState::Placed { keeper: to };
                 task.run = moved.run;
                 true
             }
         }
     }
 
-    /// The connection to a keeper is lost. What it had of this entry's tasks is over soon, since
-    /// it stops them or their leases lapse.
+    /// Handles the loss of the connection to a keeper. Its runs of this entry's tasks end soon,
+    /// since it stops them or their leases expire.
     pub(crate) fn keeper_lost(&mut self, now: Time, keeper: Home) {
         let from = now + self.options.lapse_wait;
         for open in self.open.values_mut() {
             for task in &mut open.tasks {
-                if task.state == (State::Placed { keeper }) {
-                    task.state = State::Waiting { from };
+                if task.state == (TaskState::Placed { keeper }) {
+                    task.state = TaskState::Pending { from };
                     task.run += 1;
                     open.ran = true;
                 }
@@ -261,20 +264,22 @@
         }
     }
 
-    /// The process did not run for a while: callers may have gone, and leases may have lapsed.
+    /// Answers all open jobs after the process did not run for a while: callers may have left, and
+    /// leases may have expired. Returns tasks of this entry's own executors to cancel.
     pub(crate) fn pause(&mut self, now: Time, out: &mut Vec<Action>) -> Vec<Task> {
         let numbers: Vec<_> = self.open.keys().copied().collect();
         let finish = |number| self.finish(now, number, Reason::Paused, out);
         numbers.into_iter().flat_map(finish).collect()
     }
 
-    /// Gives up what can't be in time any more.
+    /// Answers the jobs that can't be in time any more. Returns tasks of this entry's own executors
+    /// to cancel.
     pub(crate) fn expire(&mut self, now: Time, out: &mut Vec<Action>) -> Vec<Task> {
-        let reason = |open: &Open| {
+        let reason = |open: &OpenJob| {
             let late = now >= open.job.give_up;
-            match (open.is_untouched(), open.has_waiting() && open.is_too_late(now)) {
+            match (open.is_unstarted(), open.has_pending() && open.is_too_late(now)) {
                 (true, true) => Some(Reason::NoRoomInTime),
-                (true, false) if open.has_waited_enough(now, self.options.patience_percent) => {
+                (true, false) if open.exceeds_wait_limit(now, self.options.patience_percent) => {
                     Some(Reason::NoRoomInTime)
                 }
                 (false, true) if open.ran => Some(Reason::LostTooLate),
@@ -287,16 +292,16 @@
         due.into_iter().flat_map(|(number, why)| self.finish(now, number, why, out)).collect()
     }
 
-    /// Answers a job's caller and forgets the job. Returns tasks of this entry's own executors to
+    /// Answers a job's caller and drops the job. Returns tasks of this entry's own executors to
     /// cancel.
     fn finish(&mut self, now: Time, number: u64, why: Reason, out: &mut Vec<Action>) -> Vec<Task> {
         let Some(open) = self.open.remove(&number) else { return Vec::new() };
         self.waiters.remove(&open.waiter);
         let (answer, name) = match why {
             Reason::AllDone => (Answer::Completed, "completed"),
-            _ if open.is_untouched() => {
-                let retry_after = self.excess.refuse(now, &open.job.name);
-                (Answer::Refused { retry_after }, "refused")
+            _ if open.is_unstarted() => {
+                let retry_after = self.retry_delays.record_rejection(now, &open.job.name);
+                (Answer::Rejected { retry_after }, "refused")
             }
             Reason::Failures | Reason::ExecutorsLost => (Answer::Failed, "failed"),
             _ => (Answer::GivenUp, "given-up"),
@@ -310,14 +315,14 @@
             after: now.since(open.arrived),
             waited: open.placed_at.unwrap_or(now).since(open.arrived),
             late_by: now.since(open.job.due),
-            waiting: self.waiting(),
+            waiting: self.pending_jobs(),
             room: self.peers.with_room(now).map(|(_, room)| room.count(cores)).sum(),
         }));
         out.push(Action::Answer { waiter: open.waiter, answer });
         self.cancel_placed(&open, out)
     }
 
-    fn cancel_placed(&self, open: &Open, out: &mut Vec<Action>) -> Vec<Task> {
+    fn cancel_placed(&self, open: &OpenJob, out: &mut Vec<Action>) -> Vec<Task> {
         let mut keepers: FxHashMap<Home, Vec<Task>> = FxHashMap::default();
         for (keeper, task) in open.placed() {
             keepers.entry(keeper).or_default().push(task);
@@ -328,7 +333,7 @@
         own
     }
 
-    fn waiting(&self) -> usize {
-        self.open.values().filter(|open| open.has_waiting()).count()
+    fn pending_jobs(&self) -> usize {
+        self.open.values().filter(|open| open.has_pending()).count()
     }
 }
--- a/components/runs/src/home/place.rs
+++ b/components/runs/src/home/place.rs
@@ -1,27 +1,27 @@
-//! Which keepers get the tasks that wait.
+//! Chooses the keepers that pending tasks are sent to.
 
 use super::{
     Jobs,
-    job::{Open, State},
+    job::{OpenJob, TaskState},
 };
 use crate::{
     Action, Message,
     action::Decision,
     job::Key,
-    message::{Place, Placement, Room},
+    message::{PlacedTask, Placement, Room},
 };
 use membership::rendezvous;
 use site::{id::Home, unit::Time};
 use std::cmp::Reverse;
 
-/// A keeper has room to spare for a job if that suffices for so many such jobs: others may have sent
-/// theirs there since its report.
-const SPARE: usize = 2;
+/// A keeper has room to spare for a job if it has room for this many such jobs: other entries may
+/// have sent theirs since its report.
+const SPARE_JOBS: usize = 2;
 
-/// Tasks of a job that go to one keeper.
+/// Tasks of a job that are sent to one keeper.
 struct Share {
     keeper: Home,
-    /// How many such tasks it was believed to have room for.
+    /// How many such tasks it had room for, by its latest report.
     room: u32,
     tasks: Vec<u16>,
 }
@@ -32,13 +32,13 @@
     keeper: Home,
     /// Tasks of the job that can start there at once.
     count: u32,
-    /// Tasks that may wait there for the next one to end.
+    /// Tasks that may be queued there beyond that.
     ahead: u32,
 }
 
 impl Jobs {
-    /// Sends waiting tasks to keepers with room, the most pressing job first. `own` is the room of
-    /// this entry's executors. Returns what is placed there.
+    /// Sends pending tasks to keepers with room, the most urgent job first. `own` is the room of
+    /// this entry's executors. Returns the placements for this entry's own executors.
     pub(crate) fn place(
         &mut self,
         now: Time,
@@ -48,7 +48,7 @@
         let mut order: Vec<_> = self
             .open
             .values()
-            .filter(|open| open.has_waiting_now(now) && !open.is_too_late(now))
+            .filter(|open| open.has_pending_now(now) && !open.is_too_late(now))
             .map(|open| open.rank(now, &self.options))
             .collect();
         order.sort_unstable();
@@ -56,16 +56,16 @@
         for (.., key) in order {
             let Some(open) = self.open.get(&key.number) else { continue };
             let cores = open.job.needs.cores.0;
-            let tasks = open.waiting(now);
+            let tasks = open.pending(now);
             let candidates = self.candidates(now, &own, key, cores, tasks.len());
             for share in divide(tasks, candidates) {
                 let count = share.tasks.len() as u32;
                 let Some(placement) = self.send(now, key, &share, out) else { continue };
                 if share.keeper == self.me {
-                    own.take(cores, count);
+                    own.reserve(cores, count);
                     placements.push(placement);
                 } else {
-                    self.peers.take(share.keeper, cores, count);
+                    self.peers.reserve(share.keeper, cores, count);
                     let message = Message::Place(placement);
                     out.push(Action::Send { to: share.keeper, message });
                 }
@@ -74,9 +74,9 @@
         placements
     }
 
-    /// Keepers with room, in the order in which they are preferred: this entry, then those of its
-    /// data centre, then those with room to spare, in an order that differs from job to job, then
-    /// those with most room.
+    /// Keepers with room, in order of preference: this entry, then those of its data centre, then
+    /// those with room to spare in an order that differs between jobs, then those with the most
+    /// room.
     fn candidates(
         &self,
         now: Time,
@@ -92,7 +92,7 @@
             .collect();
         let far = |home: Home| home.data_centre != self.me.data_centre;
         let subject = rendezvous::rank(key.home, key.number);
-        let spare = |count: u32| self.options.spread && count as usize >= tasks * SPARE;
+        let spare = |count: u32| self.options.spread && count as usize >= tasks * SPARE_JOBS;
         candidates.sort_by_cached_key(|Candidate { keeper, count, .. }| {
             let rank = match spare(*count) {
                 true => (false, rendezvous::rank(*keeper, subject), Reverse(0)),
@@ -103,7 +103,7 @@
         candidates
     }
 
-    /// Marks the tasks of a share as placed; returns what their keeper has to know.
+    /// Marks the tasks of a share as placed; returns the placement for its keeper.
     fn send(
         &mut self,
         now: Time,
@@ -124,8 +124,8 @@
     }
 }
 
-/// Divides tasks among keepers: all to the first that has room for them, else to those with the
-/// most room. Only where there is none at all, tasks go ahead of it.
+/// Divides tasks among keepers: all to the first that has room for them, otherwise to those with
+/// the most room. Tasks are queued beyond the room only if no keeper has any.
 fn divide(mut tasks: Vec<u16>, mut candidates: Vec<Candidate>) -> Vec<Share> {
     let wanted = tasks.len() as u32;
     if let Some(first) = candidates.iter().find(|candidate| candidate.count >= wanted) {
@@ -147,14 +147,14 @@
 }
 
 /// Marks the tasks of a share as placed.
-fn placement(now: Time, open: &mut Open, share: &Share) -> Placement {
+fn placement(now: Time, open: &mut OpenJob, share: &Share) -> Placement {
     let begun = open.has_begun(now);
     open.placed_at.get_or_insert(now);
     let job = &open.job;
     let place = |index: &u16| {
         let task = &mut open.tasks[usize::from(*index)];
-        task.state = State::Placed { keeper: share.keeper };
-        Place { index: *index, run: task.run, avoid: task.avoid.clone() }
+        task.state = TaskState::Placed { keeper: share.keeper };
+        PlacedTask { index: *index, run: task.run, avoid: task.avoid.clone() }
     };
     Placement {
         sent: now,
--- a/components/runs/src/job.rs
+++ b/components/runs/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks.
+//! Jobs, tasks and runs.
 
 use compact_str::{CompactString, format_compact};
 use serde::{Deserialize, Serialize};
@@ -8,86 +8,88 @@
 };
 use std::{fmt, sync::Arc};
 
-/// A job as its caller hands it in. Nothing of it is stored: its caller waits for its end.
+/// A job as its caller submits it. It is not stored: the caller waits for the answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Chosen by the caller. The same name after a lost answer is the same job.
+    /// Chosen by the caller. A caller that lost the answer submits the job again under the same
+    /// name.
     pub name: CompactString,
-    /// The caller's id of this request, for the log; empty if it has none. A job that is handed in
-    /// again comes with another.
+    /// The caller's id of this request, for the log; empty if it has none. Each submission of a job
+    /// has another id.
     pub request: CompactString,
     /// What its tasks do, as the caller wrote it.
     pub spec: Arc<str>,
-    /// How many tasks it has; at least one.
+    /// Number of tasks, at least one.
     pub tasks: u16,
-    /// What each of them needs.
+    /// Resources that each task needs.
     pub needs: Resources,
-    /// A label that their executor must have.
+    /// A label that the executor must have; `None` allows any executor.
     pub label: Option<CompactString>,
-    /// Most of them on one executor.
+    /// Maximum number of its tasks on one executor; `None` for no limit.
     pub per_executor: Option<u16>,
-    /// How long each of them runs, by the caller's rough estimate.
+    /// How long each task runs, by the caller's rough estimate.
     pub estimate: Span,
-    /// The executors' service.
+    /// The service whose executors can run the tasks.
     pub service: ServiceId,
-    /// 0 is the most urgent. Not part of the order of jobs yet, which follows their latest start.
+    /// 0 is the most urgent. Has no effect yet: jobs are ordered by their latest start.
     pub priority: u8,
     /// The job fails when one task has failed this often.
     pub max_failures: u16,
-    /// From then on its answer is late.
+    /// The deadline of its answer.
     pub due: Time,
-    /// From then on nobody needs its answer.
+    /// When nobody needs its answer any more.
     pub give_up: Time,
-    /// Number of the first run of its tasks. Runs of the same task must rise, also across entries
-    /// that know nothing of each other, so it grows with the time since the caller's first try.
+    /// Number of the first run of its tasks. Run numbers of a task must increase, even across
+    /// entries that know nothing of each other, so this grows with the time since the caller's
+    /// first try.
     pub first_run: u32,
 }
 
 impl Job {
-    /// The latest start at which it is in time if its tasks take this part of their estimate.
+    /// The latest start at which the job is in time if its tasks take `percent` of their estimate.
     pub(crate) fn start_by(&self, percent: u64) -> Time {
         let estimate = self.estimate.0 * percent / 100;
         Time(self.due.0.saturating_sub(estimate))
     }
 }
 
-/// Names a job among all that are open at all entries.
+/// Identifies a job among the open jobs of all entries.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Key {
     /// The entry that answers its caller.
     pub home: Home,
-    /// Counted by the home.
+    /// Sequence number, assigned by the home.
     pub number: u64,
 }
 
-/// Names a task among all that are open.
+/// Identifies a task among the open jobs of all entries.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Task {
-    /// Its job.
+    /// The job that it belongs to.
     pub job: Key,
     /// Position in the job, from 0.
     pub index: u16,
 }
 
-/// Names one run of a task at an executor.
+/// Identifies one run of a task at an executor.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Run {
-    /// The caller's name of the job.
+    /// The job's name, chosen by the caller.
     pub job: CompactString,
-    /// Position of the task in the job.
+    /// Position of the task in the job, from 0.
     pub index: u16,
-    /// Counts the starts of the task.
+    /// Sequence number of the run among the task's runs.
     pub number: u32,
 }
 
 impl Run {
-    /// The task's name at executors: job, occurrence, step and index. Jobs here have one
-    /// occurrence and one step.
+    /// The task's name at executors: job, occurrence, step and index. Jobs here have one occurrence
+    /// and one step.
     pub fn task_name(&self) -> CompactString {
         format_compact!("{}.0.0.{}", self.job, self.index)
     }
 
-    /// The run of this number of the task that [`task_name`](Self::task_name) named so.
+    /// Parses a name made by [`task_name`](Self::task_name) into the run with this number.
     pub fn parse(task: &str, number: u32) -> Option<Self> {
         let mut parts = task.split('.');
         let job = parts.next()?.into();
@@ -105,18 +107,18 @@
     }
 }
 
-/// What a caller learns of its job in the end.
+/// The result of a job, as its caller gets it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// All tasks ended well.
+    /// All tasks completed.
     Completed,
-    /// A task failed as often as it may.
+    /// A task failed too often, or several executors were lost under it.
     Failed,
-    /// Tasks have run, and the job can't end in time any more.
+    /// Some task may have run, and the job can't end in time any more.
     GivenUp,
-    /// No task has started and none ever will.
-    Refused {
-        /// When another try makes sense.
+    /// No task has started and none will.
+    Rejected {
+        /// Time after which the caller should retry.
         retry_after: Span,
     },
 }
--- /dev/null
+++ b/components/runs/src/keeper/incarnation.rs
@@ -0,0 +1,112 @@
+//! Executors that start a new incarnation under the same name.
+//!
+//! A new incarnation has no memory of the previous one: its clock and its sequence of ends start
+//! again, and nothing runs. It is detected by the start time in the executor's listing or
+//! registration, whichever arrives first.
+
+use super::{Keeper, Lease, Phase, log_keep};
+use crate::{
+    Action,
+    action::{Ending, KeepChange},
+    executor::Incarnation,
+    job::Run,
+    message::End,
+};
+use site::{id::EndpointId, unit::Time};
+use std::cmp::Ordering;
+
+/// How a reported incarnation compares with the known one.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(super) enum Age {
+    /// The same, or incarnations can't be distinguished.
+    Same,
+    /// A later one.
+    Newer,
+    /// An earlier one, from a message that arrived out of order.
+    Older,
+}
+
+impl Lease {
+    /// Compares a reported incarnation with the known one.
+    pub(super) fn compare(&self, reported: Option<Incarnation>) -> Age {
+        let (Some(reported), Some(known)) = (reported, self.executor.incarnation) else {
+            return Age::Same;
+        };
+        match reported.cmp(&known) {
+            Ordering::Equal => Age::Same,
+            Ordering::Greater => Age::Newer,
+            Ordering::Less => Age::Older,
+        }
+    }
+
+    /// Resets everything that was true of the previous incarnation.
+    fn begin_incarnation(
+        &mut self,
+        now: Time,
+        incarnation: Option<Incarnation>,
+        out: &mut Vec<Action>,
+    ) {
+        self.executor.incarnation = incarnation;
+        self.incarnation_since = now;
+        self.clock = None;
+        self.deadline = 0;
+        self.acknowledged = 0;
+        self.confirmed = 0;
+        self.missed_polls = 0;
+        self.full_until = Time(0);
+        log_keep(self, KeepChange::Reborn, out);
+    }
+}
+
+impl Keeper {
+    /// Applies the incarnation that responded to the latest poll. It is the current one whatever
+    /// its start time: the wall clock of its machine may have been set back.
+    pub(super) fn confirm_incarnation(
+        &mut self,
+        now: Time,
+        id: EndpointId,
+        reported: Option<Incarnation>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(lease) = self.leases.get_mut(&id) else { return };
+        match lease.compare(reported) {
+            Age::Same => lease.executor.incarnation = lease.executor.incarnation.or(reported),
+            Age::Newer | Age::Older => lease.begin_incarnation(now, reported, out),
+        }
+    }
+
+    /// A registration shows a new incarnation: the executor is polled before its next use, and its
+    /// listing decides about earlier runs.
+    pub(super) fn restarted(
+        &mut self,
+        now: Time,
+        id: EndpointId,
+        incarnation: Option<Incarnation>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(lease) = self.leases.get_mut(&id) else { return };
+        lease.begin_incarnation(now, incarnation, out);
+        if lease.is_in_use() {
+            lease.phase = Phase::Polling;
+            lease.outstanding_poll = None;
+            lease.poll_at = Some(now);
+        }
+    }
+
+    /// Ends a run when the executor lists neither it nor its end.
+    pub(super) fn end_missing(
+        &mut self,
+        now: Time,
+        id: EndpointId,
+        run: &Run,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(lease) = self.leases.get(&id) else { return };
+        let has_restarted =
+            lease.runs.get(run).is_some_and(|live| live.sent < lease.incarnation_since);
+        match has_restarted {
+            true => self.end_run(now, id, run, End::ExecutorLost, Ending::ExecutorGone, out),
+            false => self.end_run(now, id, run, End::Lost, Ending::Missing, out),
+        }
+    }
+}
--- a/components/runs/src/keeper/lease.rs
+++ b/components/runs/src/keeper/lease.rs
@@ -1,9 +1,9 @@
-//! One executor that this entry keeps: its lease, and what runs there.
+//! The state of one executor that this entry keeps: its lease and its runs.
 
 use crate::{
     Executor,
     action::StopCause,
-    clock::{self, Clock, Remote},
+    clock::{self, Clock, RemoteTime},
     job::{Run, Task},
 };
 use rustc_hash::FxHashMap;
@@ -12,9 +12,9 @@
     unit::{Resources, Span, Time},
 };
 
-/// How long a reading of an executor's clock is taken to be of its present life. Two looks at an idle
-/// executor, and shorter than it takes to start again.
-const CLOCK_TRUST: Span = Span::from_millis(1_500);
+/// How long a reading of an executor's clock counts as one of its current incarnation. Two polls of
+/// an idle executor, and shorter than an executor's restart.
+const MAX_CLOCK_AGE: Span = Span::from_millis(1_500);
 
 /// An executor that this entry keeps.
 #[derive(Debug)]
@@ -22,59 +22,59 @@
     pub(crate) executor: Executor,
     pub(crate) phase: Phase,
     pub(crate) token: u64,
-    /// Refusals of a token since the executor was last in use.
+    /// Times that this entry was fenced since the executor was last in use.
     pub(crate) tries: u8,
-    /// When this entry learnt of the executor's present life.
-    pub(crate) life_since: Time,
-    /// `None` until the executor was looked at.
+    /// When this entry learnt of the executor's current incarnation.
+    pub(crate) incarnation_since: Time,
+    /// `None` until the executor has responded.
     pub(crate) clock: Option<Clock>,
-    /// The latest deadline that was sent, on the executor's clock. Whatever runs there is over
-    /// once its clock has passed it.
-    pub(crate) deadline: Remote,
-    /// What a former keeper started there may run until then, by this entry's clock.
+    /// The latest lease deadline that was sent, on the executor's clock. Everything that runs there
+    /// has ended once its clock has passed it.
+    pub(crate) deadline: RemoteTime,
+    /// Until when a run that the former keeper started may still be running, by this entry's clock.
     pub(crate) inherited_until: Time,
-    pub(crate) runs: FxHashMap<Run, Live>,
-    /// The sum of what `runs` occupy.
+    pub(crate) runs: FxHashMap<Run, TrackedRun>,
+    /// Sum of the resources that `runs` occupy.
     pub(crate) used: Resources,
-    /// Ends up to this number were dealt with.
+    /// Ends up to this number have been handled.
     pub(crate) acknowledged: u64,
-    /// Ends up to this number were acknowledged in a look that was answered.
+    /// Ends up to this number were acknowledged in a poll that got a response.
     pub(crate) confirmed: u64,
-    /// The look whose answer is awaited.
-    pub(crate) looking: Option<Looking>,
-    /// The number of the latest look.
-    pub(crate) looks: u64,
-    /// When the next look is due, if one is wanted.
-    pub(crate) look_at: Option<Time>,
-    /// Looks in a row without an answer.
-    pub(crate) silent: u32,
-    /// Entries that were asked for what they know and have not answered.
-    pub(crate) asked: Vec<Home>,
-    /// No start before then: the executor said that it has no room.
+    /// The outstanding poll.
+    pub(crate) outstanding_poll: Option<OutstandingPoll>,
+    /// Sequence number of the latest poll.
+    pub(crate) polls: u64,
+    /// When the next poll is due, if one is needed.
+    pub(crate) poll_at: Option<Time>,
+    /// Consecutive polls without a response.
+    pub(crate) missed_polls: u32,
+    /// Entries that were sent an executor claim and have not answered.
+    pub(crate) claim_recipients: Vec<Home>,
+    /// No start before this time: the executor refused one for lack of room.
     pub(crate) full_until: Time,
-    /// It starts whatever it is told to, so that its capacity has to be kept here.
+    /// Whether it starts every task that it is ordered to, so that its capacity has to be enforced here.
     pub(crate) overcommits: bool,
-    /// How many times as long as others it takes.
-    pub(crate) slow: f32,
-    /// When a task was last seen to end well there.
-    pub(crate) worked: Time,
+    /// How many times as long as others it takes for a task.
+    pub(crate) slowness: f32,
+    /// When a task last completed there.
+    pub(crate) last_completed: Time,
 }
 
-/// How far this entry is with an executor.
+/// Progress towards using an executor.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// The view that makes this entry its keeper is new.
+    /// The view that makes this entry the keeper is new.
     Settling {
-        /// Since when.
+        /// When the phase began.
         since: Time,
     },
-    /// Other entries were asked for what they know.
+    /// Other entries were sent an executor claim.
     Claiming {
-        /// When to go on without.
+        /// When to continue without their answers.
         until: Time,
     },
-    /// It was asked for its lists and may not be used yet.
-    Looking,
+    /// Polled, and not to be used before it responds.
+    Polling,
     /// It is in use.
     Ready,
     /// A higher token than this entry's was used there.
@@ -84,22 +84,22 @@
     },
 }
 
-/// A look whose answer is awaited.
+/// An outstanding poll.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Looking {
+pub(crate) struct OutstandingPoll {
     pub(crate) number: u64,
     pub(crate) sent: Time,
-    /// Without an answer by then, another look is sent.
+    /// If no response arrives by this time, another poll is sent.
     pub(crate) until: Time,
-    /// The executor may hold its answer back until a run ends.
+    /// Whether it is a long poll: the executor may hold back its response until a run ends.
     pub(crate) held: bool,
     pub(crate) acknowledged: u64,
 }
 
-/// A run that is at an executor, or may be.
+/// A run that is on an executor, or may be.
 #[derive(Clone, Debug)]
-pub(crate) struct Live {
-    /// `None` for a run that this entry found and knows nothing of.
+pub(crate) struct TrackedRun {
+    /// `None` for a run that this entry found there without knowing its task.
     pub(crate) task: Option<Task>,
     pub(crate) needs: Resources,
     pub(crate) estimate: Span,
@@ -107,7 +107,7 @@
     /// When its start was sent.
     pub(crate) sent: Time,
     pub(crate) state: State,
-    /// When the executor last said that it is there.
+    /// When the executor last listed or confirmed it.
     pub(crate) seen: Option<Time>,
     /// Why it is being stopped.
     pub(crate) stop: Option<StopCause>,
@@ -116,28 +116,28 @@
 /// What is known of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum State {
-    /// Its start was sent and not answered.
+    /// Its start was sent and has got no response yet.
     Starting,
-    /// Its start was not answered, and will not be.
-    Unsure {
-        /// Since when.
+    /// Its start got no response, and will not.
+    Unconfirmed {
+        /// When that became known.
         since: Time,
     },
-    /// The executor said that it is there.
+    /// The executor has confirmed it.
     Running {
-        /// When it said so.
+        /// When it was confirmed.
         since: Time,
     },
-    /// A stop was sent and not answered.
+    /// A stop was sent and has got no response yet.
     Stopping,
     /// A stop failed.
     StopAgain {
-        /// When to send another.
+        /// When to send another stop.
         at: Time,
     },
     /// A stop was carried out; the end is not listed yet.
     Stopped {
-        /// Since when.
+        /// When the stop was confirmed.
         since: Time,
     },
 }
@@ -149,7 +149,7 @@
             phase,
             token: 0,
             tries: 0,
-            life_since: Time(0),
+            incarnation_since: Time(0),
             clock: None,
             deadline: 0,
             inherited_until: Time(0),
@@ -157,93 +157,93 @@
             used: Resources::default(),
             acknowledged: 0,
             confirmed: 0,
-            looking: None,
-            looks: 0,
-            look_at: None,
-            silent: 0,
-            asked: Vec::new(),
+            outstanding_poll: None,
+            polls: 0,
+            poll_at: None,
+            missed_polls: 0,
+            claim_recipients: Vec::new(),
             full_until: Time(0),
             overcommits: false,
-            slow: 1.0,
-            worked: Time(0),
+            slowness: 1.0,
+            last_completed: Time(0),
         }
     }
 
     /// Whether this entry has used the executor, so that it knows what runs there.
     pub(crate) fn is_in_use(&self) -> bool {
-        matches!(self.phase, Phase::Looking | Phase::Ready)
+        matches!(self.phase, Phase::Polling | Phase::Ready)
     }
 
     pub(crate) fn free(&self) -> Resources {
         self.executor.capacity.minus(&self.used)
     }
 
-    /// Whether a task may be started there now, as far as the executor alone is concerned.
+    /// Whether a task may be started there now, apart from health, cordon and service.
     pub(crate) fn is_usable(&self, now: Time) -> bool {
         self.phase == Phase::Ready
             && !self.executor.leaving
-            && self.silent == 0
+            && self.missed_polls == 0
             && self.full_until <= now
             && self.knows_clock(now)
             && !(self.overcommits && self.has_unknown_runs())
     }
 
-    /// Whether the clock is surely that of the executor's present life.
+    /// Whether the clock reading is certainly of the executor's current incarnation.
     fn knows_clock(&self, now: Time) -> bool {
-        self.executor.born.is_none()
-            || self.clock.is_some_and(|clock| clock.age(now) <= CLOCK_TRUST)
+        self.executor.incarnation.is_none()
+            || self.clock.is_some_and(|clock| clock.age(now) <= MAX_CLOCK_AGE)
     }
 
-    /// Whether something runs there of which it is not known what it occupies.
+    /// Whether something runs there whose resources are unknown.
     fn has_unknown_runs(&self) -> bool {
         self.runs.values().any(|live| live.task.is_none())
     }
 
-    pub(crate) fn insert(&mut self, run: Run, live: Live) {
+    pub(crate) fn insert(&mut self, run: Run, live: TrackedRun) {
         self.used = self.used.plus(&live.needs);
         if let Some(old) = self.runs.insert(run, live) {
             self.used = self.used.minus(&old.needs);
         }
     }
 
-    pub(crate) fn remove(&mut self, run: &Run) -> Option<Live> {
+    pub(crate) fn remove(&mut self, run: &Run) -> Option<TrackedRun> {
         let live = self.runs.remove(run)?;
         self.used = self.used.minus(&live.needs);
         Some(live)
     }
 
-    /// Whether nothing that was started there can run any more, whatever the executor does.
-    pub(crate) fn has_lapsed(&self, now: Time) -> bool {
+    /// Whether everything that was started there must have ended, whatever the executor's state.
+    pub(crate) fn has_expired(&self, now: Time) -> bool {
         now > self.inherited_until
-            && self.clock.is_none_or(|clock| clock.least(now) > self.deadline)
+            && self.clock.is_none_or(|clock| clock.lower_bound(now) > self.deadline)
     }
 
-    /// Notes that a former keeper has just ceased to prolong its lease, which lasted `span`.
+    /// Records that a former keeper has just stopped renewing its lease, which lasts `span`.
     pub(crate) fn inherit(&mut self, now: Time, span: Span) {
-        self.inherited_until = now + clock::longest(span);
+        self.inherited_until = now + clock::max_local_span(span);
     }
 
-    pub(crate) fn read_clock(&mut self, reading: Remote, now: Time) {
+    pub(crate) fn read_clock(&mut self, reading: RemoteTime, now: Time) {
         match &mut self.clock {
             Some(clock) => clock.update(reading, now),
             None => self.clock = Some(Clock::new(reading, now)),
         }
     }
 
-    /// A new deadline for everything that runs there.
-    pub(crate) fn extend(&mut self, now: Time, span: Span) -> Option<Remote> {
+    /// Computes a new lease deadline; `None` while the executor's clock is unknown.
+    pub(crate) fn extend_deadline(&mut self, now: Time, span: Span) -> Option<RemoteTime> {
         let deadline = self.clock?.deadline(now, span);
         self.deadline = self.deadline.max(deadline);
         Some(deadline)
     }
 
-    /// Tasks of a job that are there.
+    /// Number of tasks of a job that are there.
     pub(crate) fn count(&self, job: crate::job::Key) -> usize {
         self.runs.values().filter(|live| live.task.is_some_and(|task| task.job == job)).count()
     }
 }
 
-impl Live {
+impl TrackedRun {
     pub(crate) fn is_being_stopped(&self) -> bool {
         self.stop.is_some()
     }
--- a/components/runs/src/keeper/mod.rs
+++ b/components/runs/src/keeper/mod.rs
@@ -1,18 +1,18 @@
-//! The executors that this entry keeps, and the tasks that wait for them.
+//! The keeper role of an entry: the executors that it keeps, and the tasks queued for them.
 
-mod handover;
-mod hold;
+mod incarnation;
 mod lease;
-mod life;
+mod poll;
 mod queue;
 mod room;
 mod start;
 mod stop;
+mod transfer;
 
 pub(crate) use room::Offer;
 
-use lease::{Lease, Live, Looking, Phase, State};
-use life::Life;
+use incarnation::Age;
+use lease::{Lease, OutstandingPoll, Phase, State, TrackedRun};
 use queue::{Queue, Queued};
 
 use crate::{
@@ -30,36 +30,36 @@
     unit::{Resources, Span, Time},
 };
 
-/// By how much one task moves what counts as its usual need, as a divisor.
-const TYPICAL_WEIGHT: u32 = 16;
+/// Divisor of the moving average of task sizes: the weight of one task is 1/16.
+const NEEDS_WEIGHT: u32 = 16;
 
-/// By how much one run moves how long they usually take, as a divisor. About a second of a keeper
-/// with 18 slots.
-const TIME_WEIGHT: u64 = 64;
+/// Divisor of the moving average of run times: the weight of one run is 1/64. Averages over about a
+/// second of a keeper with 18 slots.
+const RUN_TIME_WEIGHT: u64 = 64;
 
-/// The executors that this entry keeps, and the tasks that wait for them.
+/// The executors that this entry keeps, and the tasks queued for them.
 #[derive(Debug)]
 pub(crate) struct Keeper {
     options: Options,
     /// Every executor that the platform lists.
     known: FxHashMap<EndpointId, Executor>,
     /// The services that jobs are sent to; `None` until the configuration is known. Executors of
-    /// others, which anybody may register, are left alone.
+    /// other services, which anybody may register, are left alone.
     services: Option<FxHashMap<ServiceId, Service>>,
-    /// Where no task may be started.
+    /// Data centres where no task may be started.
     cordon: Cordon,
     leases: FxHashMap<EndpointId, Lease>,
     queue: Queue,
     health: Monitor,
-    /// What a task usually needs.
-    typical: Resources,
-    /// How long a start usually takes until its answer.
-    start_time: Span,
-    /// How long a run usually occupies its executor.
-    run_time: Span,
-    /// When an executor's answer was last found to be missing.
-    missing_at: Option<Time>,
-    /// What homes are to be told.
+    /// Moving average of the resources that a task needs.
+    usual_needs: Resources,
+    /// Moving average of the time from a start to its response.
+    usual_start_time: Span,
+    /// Moving average of the time for which a run occupies its executor.
+    usual_run_time: Span,
+    /// When an executor's response was last found to be lost.
+    response_lost_at: Option<Time>,
+    /// Ends to report to homes.
     ends: Vec<message::Ended>,
 }
 
@@ -73,58 +73,58 @@
             leases: FxHashMap::default(),
             queue: Queue::default(),
             health: Monitor::new(),
-            typical: Resources::SLOT,
-            start_time: Span::ZERO,
-            run_time: Span::ZERO,
-            missing_at: None,
+            usual_needs: Resources::SLOT,
+            usual_start_time: Span::ZERO,
+            usual_run_time: Span::ZERO,
+            response_lost_at: None,
             ends: Vec::new(),
         }
     }
 
-    /// What became of tasks since the last call.
+    /// Returns the ends since the last call.
     pub(crate) fn take_ends(&mut self) -> Vec<message::Ended> {
         std::mem::take(&mut self.ends)
     }
 
-    /// Whether anything runs or waits here for a home, or an executor is kept.
+    /// Whether no task is queued and nothing runs on a kept executor.
     pub(crate) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.leases.values().all(|lease| lease.runs.is_empty())
     }
 
-    /// Takes tasks in, or hands them back if they were on their way for too long.
+    /// Queues tasks, or hands them back if they were in transit for too long.
     pub(crate) fn place(&mut self, now: Time, placement: Placement, stale: bool) {
         for place in &placement.tasks {
             let queued = Queued::new(now, &placement, place);
             match stale {
                 true => self.ends.push(queued.ended(End::NotRun)),
                 false => {
-                    self.learn_need(&placement.needs);
+                    self.update_usual_needs(&placement.needs);
                     self.queue.push(queued);
                 }
             }
         }
     }
 
-    fn learn_need(&mut self, needs: &Resources) {
-        let old = self.typical;
+    fn update_usual_needs(&mut self, needs: &Resources) {
+        let old = self.usual_needs;
         if old.cores.0 == 0 && old.memory.0 == 0 {
-            self.typical = needs.with_slot();
+            self.usual_needs = needs.with_slot();
             return;
         }
-        let weight = u64::from(TYPICAL_WEIGHT);
+        let weight = u64::from(NEEDS_WEIGHT);
         let mix = |old: u64, new: u64| (old * (weight - 1) + new).div_ceil(weight);
-        self.typical.cores.0 = mix(u64::from(old.cores.0), u64::from(needs.cores.0)) as u32;
-        self.typical.memory.0 = mix(old.memory.0, needs.memory.0);
+        self.usual_needs.cores.0 = mix(u64::from(old.cores.0), u64::from(needs.cores.0)) as u32;
+        self.usual_needs.memory.0 = mix(old.memory.0, needs.memory.0);
     }
 
-    fn learn_time(&mut self, took: Span) {
-        self.run_time = match self.run_time {
+    fn update_usual_run_time(&mut self, took: Span) {
+        self.usual_run_time = match self.usual_run_time {
             Span::ZERO => took,
-            old => Span((old.0 * (TIME_WEIGHT - 1) + took.0) / TIME_WEIGHT),
+            old => Span((old.0 * (RUN_TIME_WEIGHT - 1) + took.0) / RUN_TIME_WEIGHT),
         };
     }
 
-    /// Takes a new list of executors in.
+    /// Applies a new list of executors.
     pub(crate) fn set_executors(
         &mut self,
         now: Time,
@@ -132,26 +132,28 @@
         out: &mut Vec<Action>,
     ) {
         self.known = executors.into_iter().map(|executor| (executor.id, executor)).collect();
-        let mut reborn = Vec::new();
+        let mut restarted = Vec::new();
         for lease in self.leases.values_mut() {
             let Some(executor) = self.known.get(&lease.executor.id) else {
                 lease.executor.leaving = true;
                 continue;
             };
-            match lease.life(executor.born) {
-                Life::Known => lease.executor = executor.clone(),
-                Life::New => {
-                    reborn.push((executor.id, executor.born));
+            match lease.compare(executor.incarnation) {
+                Age::Same => lease.executor = executor.clone(),
+                Age::Newer => {
+                    restarted.push((executor.id, executor.incarnation));
                     lease.executor = executor.clone();
                 }
-                // The executor itself told of a later one already.
-                Life::Past => {}
+                // The executor itself reported a later one already.
+                Age::Older => {}
             }
         }
-        reborn.into_iter().for_each(|(id, born)| self.reborn(now, id, born, out));
+        restarted
+            .into_iter()
+            .for_each(|(id, incarnation)| self.restarted(now, id, incarnation, out));
     }
 
-    /// Takes in which services jobs are sent to.
+    /// Applies the services that jobs are sent to.
     pub(crate) fn set_services(&mut self, services: Vec<Service>) {
         let services = services.into_iter().map(|service| (service.id, service)).collect();
         let services: &FxHashMap<_, _> = self.services.insert(services);
@@ -160,17 +162,17 @@
         }
     }
 
-    /// The latest cordon that is known.
+    /// The latest known cordon.
     pub(crate) fn cordon(&self) -> &Cordon {
         &self.cordon
     }
 
-    /// Takes in which data centres are under cordon; returns whether they changed.
+    /// Applies a cordon; returns whether the data centres changed.
     pub(crate) fn set_cordon(&mut self, later: Cordon) -> bool {
         self.cordon.supersede(later)
     }
 
-    /// Whether a job's tasks could run, but for the cordon.
+    /// Whether the cordon is all that prevents a job's tasks from running.
     pub(crate) fn is_cordoned(&self, job: &Job) -> bool {
         if self.cordon.data_centres().is_empty() {
             return false;
@@ -188,21 +190,22 @@
         !self.known.is_empty()
     }
 
-    /// Whether there are executors in use here, all of them under cordon.
+    /// Whether executors are in use here, and all of them are under cordon.
     pub(crate) fn is_all_cordoned(&self) -> bool {
         let mut used = self.leases.values().filter(|lease| lease.is_in_use()).peekable();
         used.peek().is_some() && used.all(|lease| self.cordon.covers(lease.executor.data_centre))
     }
 
-    fn is_named(&self, service: ServiceId) -> bool {
+    fn is_configured(&self, service: ServiceId) -> bool {
         self.services.as_ref().is_none_or(|services| services.contains_key(&service))
     }
 
     fn is_wanted(&self, view: &View, executor: &Executor) -> bool {
-        self.is_named(executor.service) && view.keeps(executor)
+        self.is_configured(executor.service) && view.keeps(executor)
     }
 
-    /// Begins to keep what the view says, and forgets what is gone.
+    /// Begins to keep the executors that the view assigns to this entry, and drops those that are
+    /// gone.
     pub(crate) fn reconcile(&mut self, now: Time, view: &View, out: &mut Vec<Action>) {
         let is_new = |executor: &&Executor| {
             !self.leases.contains_key(&executor.id) && self.is_wanted(view, executor)
@@ -218,7 +221,7 @@
             self.leases.insert(lease.executor.id, lease);
         }
         let is_over = |lease: &Lease| {
-            let unused = !matches!(lease.phase, Phase::Ready | Phase::Looking);
+            let unused = !matches!(lease.phase, Phase::Ready | Phase::Polling);
             let unwanted = unused && !self.is_wanted(view, &lease.executor);
             let gone = !self.known.contains_key(&lease.executor.id) && lease.runs.is_empty();
             unwanted || gone
@@ -239,25 +242,26 @@
         }
     }
 
-    /// The process did not run for a while: its leases may have lapsed and what waits is stale.
+    /// Handles that the process did not run for a while: its leases may have expired and its queued
+    /// tasks are stale.
     pub(crate) fn pause(&mut self) {
         for queued in self.queue.drain() {
             self.ends.push(queued.ended(End::NotRun));
         }
         for lease in self.leases.values_mut() {
             if lease.phase == Phase::Ready {
-                lease.phase = Phase::Looking;
+                lease.phase = Phase::Polling;
             }
-            lease.look_at = Some(Time(0));
+            lease.poll_at = Some(Time(0));
         }
     }
 
-    /// Does what is due.
+    /// Does the work that is due by time.
     pub(crate) fn tick(&mut self, now: Time, view: &View, out: &mut Vec<Action>) {
         let mut changes = Vec::new();
         self.health.tick(now, &mut changes);
         for (id, change) in changes {
-            self.note_health(id, change, out);
+            self.record_health(id, change, out);
         }
         let ids: Vec<_> = self.leases.keys().copied().collect();
         let mut claims = Vec::new();
@@ -266,8 +270,8 @@
         }
         if !claims.is_empty() {
             let message = Message::Claim(claims);
-            let asked = self.options.former_keepers(view).into_iter();
-            out.extend(asked.map(|to| Action::Send { to, message: message.clone() }));
+            let claim_recipients = self.options.claim_recipients(view).into_iter();
+            out.extend(claim_recipients.map(|to| Action::Send { to, message: message.clone() }));
         }
     }
 
@@ -284,21 +288,21 @@
             Phase::Settling { since } if self.options.is_settled(now, since, view) => {
                 lease.token = view.token(lease.tries);
                 lease.phase = Phase::Claiming { until: now + self.options.claim_timeout };
-                lease.asked = self.options.former_keepers(view);
+                lease.claim_recipients = self.options.claim_recipients(view);
                 log_keep(lease, KeepChange::Claim, out);
                 claims.push(id);
-                self.end_claim(now, id, None, out);
+                self.record_claim_answer(now, id, None, out);
             }
-            Phase::Claiming { until } if until <= now => self.begin_look(now, id, out),
+            Phase::Claiming { until } if until <= now => self.begin_polling(now, id, out),
             Phase::Fenced { until } if until <= now => {
                 lease.phase = Phase::Settling { since: now };
             }
             Phase::Settling { .. } | Phase::Claiming { .. } | Phase::Fenced { .. } => {}
-            Phase::Looking | Phase::Ready => self.tick_runs(now, id, out),
+            Phase::Polling | Phase::Ready => self.tick_runs(now, id, out),
         }
     }
 
-    /// Ends a run for its home and for all that counted on it.
+    /// Ends a run and records its end for its home.
     fn end_run(
         &mut self,
         now: Time,
@@ -319,9 +323,9 @@
             }));
         }
         if end == End::Done {
-            self.learn_time(now.since(live.sent));
+            self.update_usual_run_time(now.since(live.sent));
         }
-        self.judge(now, id, &live, end, how, out);
+        self.report_health(now, id, &live, end, how, out);
         let Some(task) = live.task else { return };
         let ended = message::Ended { task, run: run.number, executor: Some(id), end };
         self.ends.push(ended);
--- a/components/runs/src/keeper/queue.rs
+++ b/components/runs/src/keeper/queue.rs
@@ -1,8 +1,8 @@
-//! Tasks that wait at their keeper.
+//! Tasks that are queued at their keeper.
 
 use crate::{
     job::{Run, Task},
-    message::{End, Ended, Place, Placement},
+    message::{End, Ended, PlacedTask, Placement},
 };
 use compact_str::CompactString;
 use site::{
@@ -11,7 +11,7 @@
 };
 use std::sync::Arc;
 
-/// A task that waits at its keeper.
+/// A task that is queued at its keeper.
 #[derive(Clone, Debug)]
 pub(crate) struct Queued {
     pub(crate) task: Task,
@@ -23,16 +23,16 @@
     pub(crate) estimate: Span,
     pub(crate) service: ServiceId,
     pub(crate) give_up: Time,
-    /// Some task of the job has run.
+    /// Whether some task of the job has run.
     pub(crate) begun: bool,
-    /// A start after this makes the job late, by the estimate.
+    /// The latest start at which the job is in time, by the estimate.
     pub(crate) start_by: Time,
     pub(crate) avoid: Vec<EndpointId>,
     pub(crate) since: Time,
 }
 
 impl Queued {
-    pub(crate) fn new(now: Time, placement: &Placement, place: &Place) -> Self {
+    pub(crate) fn new(now: Time, placement: &Placement, place: &PlacedTask) -> Self {
         let Placement { job, name, spec, needs, label, per_executor, estimate, service, .. } =
             placement;
         Self {
@@ -56,55 +56,55 @@
         Ended { task: self.task, run: self.run.number, executor: None, end }
     }
 
-    /// Whether nobody would need its answer any more.
+    /// Whether a task that starts now would end, by the estimate, after its answer is needed.
     pub(crate) fn is_too_late(&self, now: Time) -> bool {
         now + self.estimate > self.give_up
     }
 
-    /// Sorts jobs that have begun first, as their homes do, then what can still be in time, the most
-    /// pressing first.
+    /// Sort key: jobs that have begun first, as at their homes, then those that can still be in
+    /// time, then by latest start.
     fn rank(&self, now: Time) -> (bool, bool, Time, Time) {
         (!self.begun, self.start_by < now, self.start_by, self.since)
     }
 }
 
-/// Tasks that wait at their keeper. Short: homes send no more than there is room for.
+/// The queue of a keeper. Short, since homes send no more than there is room for.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    waiting: Vec<Queued>,
+    tasks: Vec<Queued>,
 }
 
 impl Queue {
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.tasks.len()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.tasks.is_empty()
     }
 
-    /// Thousandths of a core that its tasks need together.
+    /// Thousandths of a core that its tasks need in total.
     pub(crate) fn cores(&self) -> u64 {
-        self.waiting.iter().map(|queued| u64::from(queued.needs.cores.0)).sum()
+        self.tasks.iter().map(|queued| u64::from(queued.needs.cores.0)).sum()
     }
 
     pub(crate) fn push(&mut self, queued: Queued) {
-        self.waiting.push(queued);
+        self.tasks.push(queued);
     }
 
-    /// Takes everything out.
+    /// Removes and returns all tasks.
     pub(crate) fn drain(&mut self) -> Vec<Queued> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.tasks)
     }
 
-    /// Takes out what matches.
+    /// Removes and returns the tasks that match.
     pub(crate) fn extract(&mut self, matches: impl Fn(&Queued) -> bool) -> Vec<Queued> {
-        self.waiting.extract_if(.., |queued| matches(queued)).collect()
+        self.tasks.extract_if(.., |queued| matches(queued)).collect()
     }
 
-    /// Takes everything out, the most pressing first.
+    /// Removes and returns all tasks, the most urgent first.
     pub(crate) fn drain_sorted(&mut self, now: Time) -> Vec<Queued> {
-        self.waiting.sort_by_key(|queued| queued.rank(now));
+        self.tasks.sort_by_key(|queued| queued.rank(now));
         self.drain()
     }
 }
--- a/components/runs/src/keeper/room.rs
+++ b/components/runs/src/keeper/room.rs
@@ -1,4 +1,4 @@
-//! What this entry's executors have room for, and the work that waits for them.
+//! The room of this entry's executors, and the work queued for them.
 
 use super::{Keeper, Lease, Phase};
 use crate::{
@@ -9,22 +9,22 @@
 };
 use site::unit::{Resources, Span, Time};
 
-/// What this entry's executors offer a job that comes in.
+/// What this entry's executors offer a new job.
 #[derive(Debug)]
 pub(crate) struct Offer {
     pub(crate) load: Load,
     pub(crate) room: Room,
-    /// All executors that could run it, here and elsewhere, are under cordon.
+    /// Whether all executors that could run it, here and elsewhere, are under cordon.
     pub(crate) is_cordoned: bool,
 }
 
 impl Keeper {
-    /// What there is for a job that comes in.
+    /// What the executors offer a new job.
     pub(crate) fn offer(&self, now: Time, job: &Job) -> Offer {
         Offer { load: self.load(now), room: self.room(now), is_cordoned: self.is_cordoned(job) }
     }
 
-    /// What may be sent here now.
+    /// The room that homes may send tasks for now.
     pub(crate) fn room(&self, now: Time) -> Room {
         let usable: Vec<_> = self.usable(now).collect();
         if usable.is_empty() {
@@ -34,27 +34,28 @@
         let mut cores: Vec<_> = free.filter(|free| *free > 0).collect();
         cores.sort_unstable();
         let mut room = Room { cores, ahead: self.options.queue_ahead };
-        room.take(self.typical.cores.0, self.queue.len() as u32);
+        room.reserve(self.usual_needs.cores.0, self.queue.len() as u32);
         room
     }
 
-    /// Tasks of usual size that run at one time on the executors in use, under cordon or not.
+    /// Number of tasks of usual size that the executors in use can run concurrently, under cordon
+    /// or not.
     pub(crate) fn capacity(&self) -> u32 {
         let ready = self.leases.values().filter(|lease| lease.phase == Phase::Ready);
-        ready.map(|lease| lease.executor.capacity.count(&self.typical)).sum()
+        ready.map(|lease| lease.executor.capacity.count(&self.usual_needs)).sum()
     }
 
-    /// The work that waits here, and how fast the executors in use get through it.
+    /// The work queued here, and how fast the executors in use get through it.
     pub(crate) fn load(&self, now: Time) -> Load {
-        let size = u64::from(self.typical.cores.0);
-        let fitting = |resources: Resources| u64::from(resources.count(&self.typical)) * size;
-        let usable = self.leases.values().filter(|lease| self.may_use(now, lease));
+        let size = u64::from(self.usual_needs.cores.0);
+        let fitting = |resources: Resources| u64::from(resources.count(&self.usual_needs)) * size;
+        let usable = self.leases.values().filter(|lease| self.is_usable_soon(now, lease));
         let (free, capacity) = usable.fold((0, 0), |(free, capacity), lease| {
             (free + fitting(lease.free()), capacity + fitting(lease.executor.capacity))
         });
-        let unmeasured = if self.run_time == Span::ZERO { capacity } else { 0 };
-        let turnover = load::per_second(capacity, self.run_time);
-        Load { waiting: self.queue.cores(), free, turnover, unmeasured }
+        let unmeasured = if self.usual_run_time == Span::ZERO { capacity } else { 0 };
+        let throughput = load::per_second(capacity, self.usual_run_time);
+        Load { pending: self.queue.cores(), free, throughput, unmeasured }
     }
 
     /// How much of the capacity of executors in use is free.
@@ -66,16 +67,17 @@
         self.options.supply(free, capacity)
     }
 
-    /// Whether an executor gets tasks now, or once it has been looked at.
-    fn may_use(&self, now: Time, lease: &Lease) -> bool {
-        let is_coming = matches!(lease.phase, Phase::Claiming { .. } | Phase::Looking);
-        self.is_named(lease.executor.service)
-            && self.is_open(&lease.executor)
-            && (lease.is_usable(now) || is_coming && !lease.executor.leaving && lease.silent == 0)
+    /// Whether an executor gets tasks now, or will once it has responded to its first poll.
+    fn is_usable_soon(&self, now: Time, lease: &Lease) -> bool {
+        let is_coming = matches!(lease.phase, Phase::Claiming { .. } | Phase::Polling);
+        self.is_configured(lease.executor.service)
+            && self.allows_starts(&lease.executor)
+            && (lease.is_usable(now)
+                || is_coming && !lease.executor.leaving && lease.missed_polls == 0)
     }
 
-    /// Whether tasks may be started at an executor, as far as its health and the operator go.
-    pub(super) fn is_open(&self, executor: &Executor) -> bool {
+    /// Whether health and cordon allow starts on an executor.
+    pub(super) fn allows_starts(&self, executor: &Executor) -> bool {
         self.health.is_open(executor.id) && !self.cordon.covers(executor.data_centre)
     }
 
@@ -83,8 +85,8 @@
     fn usable(&self, now: Time) -> impl Iterator<Item = &Lease> {
         self.leases.values().filter(move |lease| {
             lease.is_usable(now)
-                && self.is_named(lease.executor.service)
-                && self.is_open(&lease.executor)
+                && self.is_configured(lease.executor.service)
+                && self.allows_starts(&lease.executor)
         })
     }
 }
