--- a/components/runs/src/keeper/start.rs
+++ b/components/runs/src/keeper/start.rs
@@ -1,10 +1,10 @@
-//! Starts: which task goes to which executor, and what its answer means.
+//! Starts: chooses executors for queued tasks and handles the responses.
 
-use super::{Keeper, Lease, Live, Queued, State};
+use super::{Keeper, Lease, Queued, State, TrackedRun};
 use crate::{
     Action,
     action::{Decision, Ending, Start},
-    executor::{Refusal, Started},
+    executor::{Refusal, StartResponse},
     job::Run,
     message::End,
 };
@@ -14,22 +14,23 @@
 };
 use std::cmp::Reverse;
 
-/// How long an executor that says it has no room gets no start. About the time until its next
-/// list, which shows what occupies it.
+/// How long an executor that refused a start for lack of room gets no other. About the time until
+/// its next listing, which shows what occupies it.
 const FULL_PAUSE: Span = Span::from_millis(100);
 
-/// By how much the number of a run rises when the executor knows of a higher one.
+/// Added to the run number when the executor knows a higher one.
 const OLD_RUN_STEP: u32 = 50;
 
-/// By how much one start moves their usual time, as a divisor.
+/// Divisor of the moving average of start times: the weight of one start is 1/8.
 const START_TIME_WEIGHT: u64 = 8;
 
-/// Steps in which slowness is told apart, so that small differences leave the choice to room.
-const SLOW_STEPS: f32 = 4.0;
+/// Resolution of slowness in steps per factor of 1, so that small differences leave the choice to
+/// room.
+const SLOWNESS_STEPS: f32 = 4.0;
 
 impl Keeper {
-    /// Starts what there is room for, the most pressing first.
-    pub(crate) fn pump(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Starts the queued tasks that there is room for, the most urgent first.
+    pub(crate) fn start_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
         }
@@ -38,7 +39,7 @@
                 self.ends.push(queued.ended(End::NotRun));
                 continue;
             }
-            match self.choose(now, &queued) {
+            match self.choose_executor(now, &queued) {
                 Some(executor) => self.start(now, executor, queued, out),
                 None if now.since(queued.since) > self.options.queue_hold => {
                     self.ends.push(queued.ended(End::NotRun));
@@ -48,9 +49,9 @@
         }
     }
 
-    /// The executor for a task: among those with room the fastest, of these the one that is left
-    /// with the least.
-    fn choose(&self, now: Time, queued: &Queued) -> Option<EndpointId> {
+    /// Chooses the executor for a task: among those with room the fastest, and of these the one
+    /// with the least capacity left afterwards.
+    fn choose_executor(&self, now: Time, queued: &Queued) -> Option<EndpointId> {
         if self.leases.values().any(|lease| lease.runs.keys().any(|run| queued.is_same_task(run))) {
             return None;
         }
@@ -58,17 +59,22 @@
             lease.is_usable(now)
                 && lease.executor.service == queued.service
                 && lease.free().fits(&queued.needs)
-                && self.is_open(&lease.executor)
+                && self.allows_starts(&lease.executor)
                 && !queued.avoid.contains(&lease.executor.id)
                 && queued.label.as_ref().is_none_or(|label| lease.executor.labels.contains(label))
                 && queued
                     .per_executor
                     .is_none_or(|most| lease.count(queued.task.job) < usize::from(most))
-                && now + slowed(queued.estimate, lease.slow) <= queued.give_up
+                && now + slowed(queued.estimate, lease.slowness) <= queued.give_up
         };
         let rank = |lease: &&Lease| {
             let left = lease.free().minus(&queued.needs);
-            ((lease.slow * SLOW_STEPS) as u32, left.cores, left.memory, Reverse(lease.executor.id))
+            (
+                (lease.slowness * SLOWNESS_STEPS) as u32,
+                left.cores,
+                left.memory,
+                Reverse(lease.executor.id),
+            )
         };
         let best = self.leases.values().filter(suits).min_by_key(rank)?;
         Some(best.executor.id)
@@ -78,9 +84,9 @@
         let span = self.options.lease;
         let Some(lease) = self.leases.get_mut(&id) else { return };
         let clock_age = lease.clock.map_or(Span::ZERO, |clock| clock.age(now));
-        let Some(deadline) = lease.extend(now, span) else { return };
+        let Some(deadline) = lease.extend_deadline(now, span) else { return };
         self.health.may_use(now, id);
-        let live = Live {
+        let live = TrackedRun {
             task: Some(queued.task),
             needs: queued.needs,
             estimate: queued.estimate,
@@ -100,50 +106,51 @@
         let Queued { run, spec, .. } = queued;
         let token = lease.token;
         out.push(Action::Start(Start { executor: id, run, spec, deadline, token }));
-        if lease.looking.is_none() {
-            lease.look_at = Some(now + self.options.start_grace);
+        if lease.outstanding_poll.is_none() {
+            lease.poll_at = Some(now + self.options.start_grace);
         }
     }
 
-    /// Takes the answer to a start in.
+    /// Handles the response to a start.
     pub(crate) fn started(
         &mut self,
         now: Time,
         id: EndpointId,
         run: &Run,
-        reply: Started,
+        reply: StartResponse,
         out: &mut Vec<Action>,
     ) {
         let Some(lease) = self.leases.get_mut(&id) else { return };
         match reply {
-            Started::Running { clock } => {
+            StartResponse::Running { clock } => {
                 lease.read_clock(clock, now);
                 if let Some(live) = lease.runs.get_mut(run) {
                     let took = now.since(live.sent).0;
                     let weight = START_TIME_WEIGHT;
-                    self.start_time = Span((self.start_time.0 * (weight - 1) + took) / weight);
+                    self.usual_start_time =
+                        Span((self.usual_start_time.0 * (weight - 1) + took) / weight);
                     live.seen = Some(now);
-                    if matches!(live.state, State::Starting | State::Unsure { .. }) {
+                    if matches!(live.state, State::Starting | State::Unconfirmed { .. }) {
                         live.state = State::Running { since: now };
                     }
                 }
             }
-            Started::Refused { clock, why } => {
+            StartResponse::Refused { clock, why } => {
                 if let Some(clock) = clock {
                     lease.read_clock(clock, now);
                 }
                 self.start_refused(now, id, run, why, out);
             }
-            Started::Unsent => self.end_run(now, id, run, End::NotRun, Ending::Missing, out),
-            Started::Unknown => {
+            StartResponse::Unsent => self.end_run(now, id, run, End::NotRun, Ending::Missing, out),
+            StartResponse::Unknown => {
                 if let Some(live) = lease.runs.get_mut(run)
                     && live.state == State::Starting
                 {
-                    live.state = State::Unsure { since: now };
-                    lease.look_at.get_or_insert(now);
+                    live.state = State::Unconfirmed { since: now };
+                    lease.poll_at.get_or_insert(now);
                 }
             }
-            Started::Gone => self.executor_gone(now, id, out),
+            StartResponse::Gone => self.executor_gone(now, id, out),
         }
     }
 
@@ -164,7 +171,7 @@
         match why {
             Refusal::Room | Refusal::Late => {
                 lease.full_until = now + FULL_PAUSE;
-                lease.look_at.get_or_insert(now);
+                lease.poll_at.get_or_insert(now);
             }
             Refusal::Fenced => return self.fenced(now, id, out),
             Refusal::OldRun => return self.old_run(now, id, run, out),
@@ -173,8 +180,8 @@
         self.end_run(now, id, run, End::NotRun, Ending::Missing, out);
     }
 
-    /// A run of the task with a higher number was there: its caller's earlier try reached another
-    /// entry.
+    /// A run of the task with a higher number was there: its caller's earlier submission reached
+    /// another entry.
     fn old_run(&mut self, now: Time, id: EndpointId, run: &Run, out: &mut Vec<Action>) {
         let before = self.ends.len();
         self.end_run(now, id, run, End::NotRun, Ending::Missing, out);
--- a/components/runs/src/keeper/stop.rs
+++ b/components/runs/src/keeper/stop.rs
@@ -1,10 +1,10 @@
-//! Stops, and what the end of a run says about its executor.
+//! Stops of runs, and what the end of a run says about its executor's health.
 
-use super::{Keeper, Live, State};
+use super::{Keeper, State, TrackedRun};
 use crate::{
     Action,
     action::{Decision, Ending, StopCause},
-    executor::Answered,
+    executor::Response,
     job::{Run, Task},
     message::End,
 };
@@ -16,12 +16,12 @@
 };
 
 impl Keeper {
-    /// Gives tasks up whose answers nobody wants.
+    /// Gives up tasks whose answers nobody needs.
     pub(crate) fn cancel(&mut self, now: Time, tasks: &[Task], out: &mut Vec<Action>) {
         self.abandon(now, StopCause::Cancelled, |task| tasks.contains(&task), out);
     }
 
-    /// Gives the tasks of a home up that can't be reached.
+    /// Gives up the tasks of a home that can't be reached.
     pub(crate) fn home_lost(&mut self, now: Time, home: Home, out: &mut Vec<Action>) {
         self.abandon(now, StopCause::HomeLost, |task| task.job.home == home, out);
     }
@@ -36,7 +36,8 @@
         for queued in self.queue.extract(|queued| matches(queued.task)) {
             self.ends.push(queued.ended(End::NotRun));
         }
-        let is_wanted = |live: &Live| live.task.is_some_and(&matches) && !live.is_being_stopped();
+        let is_wanted =
+            |live: &TrackedRun| live.task.is_some_and(&matches) && !live.is_being_stopped();
         let runs: Vec<_> = self
             .leases
             .iter()
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Sends a stop for a run, unless one is on its way.
+    /// Sends a stop for a run, unless one is outstanding.
     pub(super) fn stop(
         &mut self,
         now: Time,
@@ -73,44 +74,44 @@
         }
         live.state = State::Stopping;
         out.push(Action::Stop { executor: id, run: run.clone(), token: lease.token });
-        if lease.looking.is_none() {
-            lease.look_at.get_or_insert(now + self.options.look_retry);
+        if lease.outstanding_poll.is_none() {
+            lease.poll_at.get_or_insert(now + self.options.look_retry);
         }
     }
 
-    /// Takes the answer to a stop in.
+    /// Handles the response to a stop.
     pub(crate) fn stopped(
         &mut self,
         now: Time,
         id: EndpointId,
         run: &Run,
-        reply: Answered<()>,
+        reply: Response<()>,
         out: &mut Vec<Action>,
     ) {
         let Some(lease) = self.leases.get_mut(&id) else { return };
         match reply {
-            Answered::Done(()) => {
+            Response::Done(()) => {
                 let Some(live) = lease.runs.get_mut(run) else { return };
                 live.state = State::Stopped { since: now };
-                if lease.looking.is_none() {
-                    lease.look_at = Some(now);
+                if lease.outstanding_poll.is_none() {
+                    lease.poll_at = Some(now);
                 }
             }
-            Answered::Fenced => self.fenced(now, id, out),
-            Answered::Gone => self.executor_gone(now, id, out),
-            Answered::Silent => {
+            Response::Fenced => self.fenced(now, id, out),
+            Response::Gone => self.executor_gone(now, id, out),
+            Response::Silent => {
                 let Some(live) = lease.runs.get_mut(run) else { return };
                 live.state = State::StopAgain { at: now + self.options.look_retry };
             }
         }
     }
 
-    /// Tells the health of an executor what became of a run there.
-    pub(super) fn judge(
+    /// Reports the end of a run to the health monitor of its executor.
+    pub(super) fn report_health(
         &mut self,
         now: Time,
         id: EndpointId,
-        live: &Live,
+        live: &TrackedRun,
         end: End,
         how: Ending,
         out: &mut Vec<Action>,
@@ -130,16 +131,16 @@
         let cause = live.task.map(|task| Cause(task.job.number ^ task.job.home.incarnation.0));
         let attempt = Attempt { started: Some(live.sent), cause };
         let change = self.health.observe_attempt(now, id, what, attempt);
-        self.note_health(id, change, out);
+        self.record_health(id, change, out);
     }
 
-    pub(super) fn note_health(&mut self, id: EndpointId, change: Change, out: &mut Vec<Action>) {
+    pub(super) fn record_health(&mut self, id: EndpointId, change: Change, out: &mut Vec<Action>) {
         if change == Change::None {
             return;
         }
         let Some(lease) = self.leases.get_mut(&id) else { return };
         if let Change::Slow(factor) = change {
-            lease.slow = factor;
+            lease.slowness = factor;
         }
         let executor = lease.executor.name.clone();
         let change = format_compact!("{change:?}");
--- /dev/null
+++ b/components/runs/src/keeper/transfer.rs
@@ -0,0 +1,136 @@
+//! Transfers of executors between keepers: executor claims, and the state that a former keeper
+//! sends.
+
+use super::{Age, Keeper, Lease, Phase, State, TrackedRun};
+use crate::{
+    Action, Message,
+    action::KeepChange,
+    job::Run,
+    message::{Moved, Transfer, TransferredRun},
+    view::View,
+};
+use site::{
+    id::{EndpointId, Home},
+    unit::Time,
+};
+
+impl Keeper {
+    /// Whether there is no executor that could be transferred.
+    pub(crate) fn keeps_nothing(&self) -> bool {
+        !self.leases.values().any(Lease::is_in_use)
+    }
+
+    /// Transfers executors to another entry that now keeps them.
+    pub(crate) fn transfer(
+        &mut self,
+        now: Time,
+        to: Home,
+        executors: &[EndpointId],
+        out: &mut Vec<Action>,
+    ) {
+        let (kept, others): (Vec<_>, Vec<_>) =
+            executors.iter().partition(|id| self.leases.get(id).is_some_and(Lease::is_in_use));
+        out.push(Action::Send { to, message: Message::Disclaim(others) });
+        for id in &kept {
+            let Some(lease) = self.leases.get(id) else { continue };
+            let message = Message::Transfer(Transfer {
+                executor: *id,
+                incarnation: lease.executor.incarnation,
+                token: lease.token,
+                acknowledged: lease.acknowledged,
+                runs: lease
+                    .runs
+                    .iter()
+                    .filter_map(|(run, live)| transferred(now, run, live))
+                    .collect(),
+            });
+            out.push(Action::Send { to, message });
+            self.forget(*id, KeepChange::Yield, out);
+        }
+    }
+
+    /// Applies a former keeper's state of an executor. Returns the runs that it had there.
+    pub(crate) fn accept_transfer(
+        &mut self,
+        now: Time,
+        view: &View,
+        transferred: Transfer,
+        out: &mut Vec<Action>,
+    ) -> Vec<Moved> {
+        let Some(lease) = self.leases.get_mut(&transferred.executor) else { return Vec::new() };
+        if !matches!(lease.phase, Phase::Claiming { .. } | Phase::Polling) {
+            return Vec::new();
+        }
+        lease.token = lease.token.max(view.token_above(transferred.token));
+        if lease.compare(transferred.incarnation) == Age::Same {
+            lease.acknowledged = lease.acknowledged.max(transferred.acknowledged);
+        }
+        lease.inherit(now, self.options.lease);
+        let mut moved = Vec::new();
+        for inherited in transferred.runs {
+            let live = TrackedRun {
+                task: Some(inherited.task),
+                needs: inherited.needs,
+                estimate: inherited.estimate,
+                give_up: now + inherited.give_up_in,
+                sent: Time(now.0.saturating_sub(inherited.running_for.0)),
+                state: State::Unconfirmed { since: now },
+                seen: None,
+                stop: None,
+            };
+            self.health.may_use(now, transferred.executor);
+            moved.push(Moved { task: inherited.task, run: inherited.run.number });
+            lease.insert(inherited.run, live);
+        }
+        if matches!(lease.phase, Phase::Claiming { .. }) {
+            self.begin_polling(now, transferred.executor, out);
+        }
+        moved
+    }
+
+    /// Handles that an entry does not keep these executors, or can't be asked for them.
+    pub(crate) fn disclaimed(
+        &mut self,
+        now: Time,
+        from: Home,
+        executors: &[EndpointId],
+        out: &mut Vec<Action>,
+    ) {
+        executors.iter().for_each(|id| self.record_claim_answer(now, *id, Some(from), out));
+    }
+
+    /// Handles the loss of the connection to an entry that may have been sent claims.
+    pub(crate) fn peer_lost(&mut self, now: Time, peer: Home, out: &mut Vec<Action>) {
+        let was_asked = |lease: &&Lease| lease.claim_recipients.contains(&peer);
+        let ids: Vec<_> = self.leases.values().filter(was_asked).map(|l| l.executor.id).collect();
+        self.disclaimed(now, peer, &ids, out);
+    }
+
+    /// Records who has answered an executor claim. Once no answer is outstanding, the executor is
+    /// polled.
+    pub(super) fn record_claim_answer(
+        &mut self,
+        now: Time,
+        id: EndpointId,
+        answered: Option<Home>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(lease) = self.leases.get_mut(&id) else { return };
+        lease.claim_recipients.retain(|home| Some(*home) != answered);
+        if matches!(lease.phase, Phase::Claiming { .. }) && lease.claim_recipients.is_empty() {
+            self.begin_polling(now, id, out);
+        }
+    }
+}
+
+/// The state of a run for its new keeper; `None` for a run whose task is unknown here.
+fn transferred(now: Time, run: &Run, live: &TrackedRun) -> Option<TransferredRun> {
+    Some(TransferredRun {
+        run: run.clone(),
+        task: live.task?,
+        needs: live.needs,
+        estimate: live.estimate,
+        running_for: now.since(live.sent),
+        give_up_in: live.give_up.since(now),
+    })
+}
--- a/components/runs/src/lib.rs
+++ b/components/runs/src/lib.rs
@@ -1,14 +1,13 @@
-//! Jobs whose tasks run on leased executors.
+//! Scheduling of jobs whose tasks run on leased executors.
 //!
-//! A caller hands a job in at any entry, which is then the job's **home**: it admits the job or
-//! refuses it, and answers the caller. Each executor has one **keeper** among the entries: the only
-//! one that starts tasks there, renews the executor's lease and acknowledges ends. A home sends
-//! its tasks to keepers with room.
+//! A caller submits a job to any entry, which becomes the job's **home**: it admits or rejects the
+//! job and answers the caller. Each executor has one **keeper** among the entries, the only one
+//! that starts tasks there, renews the executor's lease and acknowledges ends. A home sends its
+//! tasks to keepers with room.
 //!
-//! [`Entry`] holds both roles of one process behind one facade. [`Entry::handle`] takes the time
-//! and an [`Event`] and appends the [`Action`]s that the caller must carry out in order. Nothing
-//! here reads a clock, opens a socket or draws a random number, so the same events give the same
-//! actions.
+//! [`Entry`] combines both roles for one process. [`Entry::handle`] takes the time and an [`Event`]
+//! and appends the [`Action`]s that the caller must carry out in order. The crate reads no clock,
+//! opens no socket and draws no random number, so equal events give equal actions.
 
 pub mod action;
 pub mod clock;
@@ -16,16 +15,16 @@
 pub mod entry;
 pub mod event;
 pub mod executor;
-mod following;
 mod home;
 pub mod job;
 mod keeper;
-mod laggards;
 pub mod load;
 pub mod message;
 pub mod options;
+mod outdated;
 mod reports;
 mod view;
+mod watch;
 
 pub use action::{Action, Decision};
 pub use cordon::Cordon;
--- a/components/runs/src/load.rs
+++ b/components/runs/src/load.rs
@@ -1,51 +1,52 @@
-//! How much work waits for executors, and how fast they get through it.
+//! Pending work, and the rate at which executors complete it.
 
 use serde::{Deserialize, Serialize};
 use site::unit::Span;
 use std::iter::Sum;
 
-/// What an entry knows of the work that waits, and of the executors that it keeps.
+/// The pending work of an entry, and the executors that it keeps.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Thousandths of a core that waiting tasks need together.
-    pub waiting: u64,
+    /// Thousandths of a core that pending and queued tasks need in total.
+    pub pending: u64,
     /// Thousandths of a core that are free, as far as tasks of usual size fit.
     pub free: u64,
-    /// Thousandths of a core that runs give back in a second while executors are full.
-    pub turnover: u64,
-    /// Thousandths of a core of executors whose turnover is not known yet.
+    /// Thousandths of a core that ending runs free in a second while executors are full.
+    pub throughput: u64,
+    /// Thousandths of a core of executors whose throughput is not known yet.
     pub unmeasured: u64,
 }
 
-/// What an entry has added up of several, itself among them.
+/// The sum of the loads of several entries, including the one that made it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// How many entries it is of.
+    /// Number of entries that it sums.
     pub entries: u32,
-    /// Their loads together.
+    /// The sum of their loads.
     pub load: Load,
 }
 
 impl Summary {
-    /// With one more entry.
+    /// Adds the load of one more entry.
     pub(crate) fn with(self, load: Load) -> Self {
         Self { entries: self.entries + 1, load: [self.load, load].into_iter().sum() }
     }
 }
 
 impl Load {
-    /// How long a task waits for room behind all that waits already; `None` while no executor is
-    /// known. `usual` is how long tasks take where nothing was measured yet.
-    pub fn wait(&self, usual: Span) -> Option<Span> {
-        let ahead = self.waiting.saturating_sub(self.free);
-        let turnover = self.turnover.saturating_add(per_second(self.unmeasured, usual));
-        let micros = u128::from(ahead) * u128::from(Span::from_secs(1).0);
-        let micros = micros.checked_div(u128::from(turnover))?;
+    /// Expected wait for room of a task behind all pending ones; `None` while no executor is known.
+    /// `usual` is the assumed run time where nothing has been measured yet.
+    pub fn expected_wait(&self, usual: Span) -> Option<Span> {
+        let backlog = self.pending.saturating_sub(self.free);
+        let throughput = self.throughput.saturating_add(per_second(self.unmeasured, usual));
+        let micros = u128::from(backlog) * u128::from(Span::from_secs(1).0);
+        let micros = micros.checked_div(u128::from(throughput))?;
         Some(Span(u64::try_from(micros).unwrap_or(u64::MAX)))
     }
 }
 
-/// What is given back in a second if all of `cores` is given back in `span`; 0 if that is unknown.
+/// Thousandths of a core freed in a second if all of `cores` are freed in `span`; 0 if `span` is
+/// zero, that is, unknown.
 pub(crate) fn per_second(cores: u64, span: Span) -> u64 {
     let second = Span::from_secs(1).0;
     cores.saturating_mul(second).checked_div(span.0).unwrap_or_default()
@@ -54,9 +55,9 @@
 impl Sum for Load {
     fn sum<I: Iterator<Item = Self>>(loads: I) -> Self {
         loads.fold(Load::default(), |sum, load| Load {
-            waiting: sum.waiting.saturating_add(load.waiting),
+            pending: sum.pending.saturating_add(load.pending),
             free: sum.free.saturating_add(load.free),
-            turnover: sum.turnover.saturating_add(load.turnover),
+            throughput: sum.throughput.saturating_add(load.throughput),
             unmeasured: sum.unmeasured.saturating_add(load.unmeasured),
         })
     }
--- a/components/runs/src/message.rs
+++ b/components/runs/src/message.rs
@@ -1,8 +1,9 @@
-//! What entries say to each other.
+//! Messages between entries. They are encoded with postcard, so the order of fields and variants is
+//! part of the format.
 
 use crate::{
     Cordon,
-    executor::Birth,
+    executor::Incarnation,
     job::{Run, Task},
     load::{Load, Summary},
 };
@@ -17,145 +18,146 @@
 /// A message between two entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The receiver is to run tasks on executors that it keeps. It answers for each of them with
-    /// one [`Message::Ended`].
+    /// Asks the receiver to run tasks on executors that it keeps. It sends one [`Ended`] for each
+    /// task in a [`Message::Ended`].
     Place(Placement),
-    /// The answers for these tasks are no longer wanted; their runs are to be stopped.
+    /// The answers for these tasks are no longer wanted; the receiver stops their runs.
     Cancel(Vec<Task>),
-    /// What became of tasks that the receiver had placed.
+    /// How tasks that the receiver had placed ended.
     Ended(Vec<Ended>),
-    /// What the sender's executors have room for, when it changed.
+    /// The sender's room and load.
     Report(Report),
-    /// The sender now keeps these executors.
+    /// An executor claim: the sender now keeps these executors and asks for their state.
     Claim(Vec<EndpointId>),
-    /// What the sender knew of an executor that it keeps no longer.
-    Yield(Yield),
+    /// The state of an executor that the sender no longer keeps.
+    Transfer(Transfer),
     /// The sender does not keep these executors, which the receiver has claimed.
     Disclaim(Vec<EndpointId>),
     /// The sender is now the keeper of these tasks' runs.
     Moved(Vec<Moved>),
-    /// The operator's newest configuration, for entries that can't reach the platform's store.
+    /// The operator's latest configuration, for entries that can't reach the platform's store.
     Configuration {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
         /// The document as it was read.
         document: Arc<[u8]>,
     },
 }
 
-/// Tasks of one job for one keeper.
+/// Tasks of one job, sent to one keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Placement {
     /// When it was sent, by the sender's clock.
     pub sent: Time,
-    /// The job.
+    /// The job that the tasks belong to.
     pub job: crate::job::Key,
-    /// The caller's name of it.
+    /// The job's name, chosen by the caller.
     pub name: CompactString,
-    /// What its tasks do.
+    /// What its tasks do, as the caller wrote it.
     pub spec: Arc<str>,
-    /// What each of them needs.
+    /// Resources that each task needs.
     pub needs: Resources,
-    /// A label that their executor must have.
+    /// A label that the executor must have; `None` allows any executor.
     pub label: Option<CompactString>,
-    /// Most of them on one executor.
+    /// Maximum number of the job's tasks on one executor; `None` for no limit.
     pub per_executor: Option<u16>,
-    /// How long each of them may run.
+    /// How long each task runs, by the caller's estimate.
     pub estimate: Span,
-    /// The executors' service.
+    /// The service whose executors can run the tasks.
     pub service: ServiceId,
-    /// Some task of the job has run.
+    /// Whether some task of the job has run already.
     pub begun: bool,
-    /// Time until the job's answer is late.
+    /// Time until the deadline of the job's answer.
     pub due_in: Span,
-    /// Time until nobody needs its answer.
+    /// Time until nobody needs the job's answer.
     pub give_up_in: Span,
-    /// The tasks.
-    pub tasks: Vec<Place>,
+    /// The tasks to run.
+    pub tasks: Vec<PlacedTask>,
 }
 
 /// One task of a placement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Place {
-    /// Position in the job.
+pub struct PlacedTask {
+    /// Position in the job, from 0.
     pub index: u16,
     /// Number of its next run.
     pub run: u32,
-    /// Where earlier runs of it went wrong.
+    /// Executors on which earlier runs of it failed or were lost.
     pub avoid: Vec<EndpointId>,
 }
 
-/// What became of a task.
+/// How a task ended at a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ended {
-    /// The task.
+    /// The task that ended.
     pub task: Task,
-    /// The number of its latest run, or of the one that it would have had.
+    /// Number of its latest run, or of the run that was not started.
     pub run: u32,
-    /// Where it ran; `None` if nowhere.
+    /// The executor that it ran on; `None` if it was not started.
     pub executor: Option<EndpointId>,
     /// How it ended.
     pub end: End,
 }
 
-/// A run that has another keeper now.
+/// A run that has a new keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Moved {
-    /// Its task.
+    /// The task of the run.
     pub task: Task,
-    /// Its number.
+    /// Number of the run.
     pub run: u32,
 }
 
-/// How a keeper's work on a task ended. Nothing of the task runs any more, except where it says
-/// so.
+/// How a keeper's work on a task ended. Nothing of the task runs any more, except for
+/// [`End::Unsure`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// It ran to its end.
+    /// It completed.
     Done,
     /// It ran and failed.
     Failed,
-    /// It started and was broken off.
+    /// It started and was interrupted.
     Lost,
-    /// Its executor crashed under it, or fell silent until the lease was over.
+    /// Its executor crashed, or was unresponsive until the lease expired.
     ExecutorLost,
     /// It never started.
     NotRun,
-    /// Another keeper has taken the executor over and is about to stop it.
+    /// Another keeper has taken over the executor and is about to stop the run.
     Unsure,
 }
 
-/// What a keeper's executors have room for.
+/// A keeper's room, load and state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// When it was sent, by the sender's clock.
     pub sent: Time,
-    /// Its room.
+    /// Tasks that may be sent to it now.
     pub room: Room,
-    /// Tasks of usual size that its executors can run at one time.
+    /// Number of tasks of usual size that its executors can run concurrently.
     pub capacity: u32,
-    /// The work that waits there, and how fast its executors get through it.
+    /// The work that is pending or queued there, and how fast its executors get through it.
     pub load: Load,
-    /// The same of all entries of the sender's data centre that it hears of.
-    pub near: Summary,
-    /// All executors that it has in use are under cordon.
+    /// The sum of the loads of the entries in the sender's data centre that it gets reports from,
+    /// its own included.
+    pub data_centre_load: Summary,
+    /// Whether all executors that it has in use are under cordon.
     pub cordoned: bool,
-    /// It is about to stop and must keep nothing.
+    /// Whether the sender drains and must keep no executor.
     pub leaving: bool,
-    /// It keeps no executor, so that it has none to hand over.
+    /// Whether it keeps no executor, so that it has none to transfer.
     pub idle: bool,
-    /// The version of the configuration that it knows.
+    /// Version of the configuration that it knows.
     pub configuration: u64,
     /// The latest cordon that it knows, for entries that can't reach the platform's store.
     pub cordon: Cordon,
-    /// The newest revision of the platform's store that it has seen.
+    /// The latest revision of the platform's store that it has seen.
     pub revision: Revision,
 }
 
 impl Report {
-    /// Whether it says anything but for its room that an older one does not.
-    pub(crate) fn is_news(&self, old: &Report) -> bool {
+    /// Whether anything but room and load differs from an older report.
+    pub(crate) fn has_urgent_change(&self, old: &Report) -> bool {
         self.capacity != old.capacity
             || self.leaving != old.leaving
             || self.idle != old.idle
@@ -164,19 +166,20 @@
             || !self.cordon.matches(&old.cordon)
     }
 
-    /// Whether work waits there now and did not before.
-    pub(crate) fn begins_to_wait(&self, old: &Report) -> bool {
-        self.load.waiting > 0 && old.load.waiting == 0
+    /// Whether work is pending or queued there now and was not in an older report.
+    pub(crate) fn gains_pending_work(&self, old: &Report) -> bool {
+        self.load.pending > 0 && old.load.pending == 0
     }
 }
 
-/// Room for tasks.
+/// Free capacity for tasks.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Room {
-    /// Thousandths of a core that are free at each executor that takes tasks and has any. Other
-    /// resources bind rarely; a task that lacks one comes back.
+    /// Free thousandths of a core of each executor that takes tasks and has any free. Other
+    /// resources are rarely the limit; a task that lacks one is handed back.
     pub cores: Vec<u32>,
-    /// Tasks that may be sent beyond that, so that no capacity idles while their home hears of it.
+    /// Tasks that may be sent beyond that and are queued at the keeper, so that no capacity idles
+    /// until their home gets the next report.
     pub ahead: u32,
 }
 
@@ -186,8 +189,9 @@
         self.cores.iter().map(|free| free / cores.max(1)).sum()
     }
 
-    /// Notes that tasks that need `cores` were sent, to the fullest executors that fit them.
-    pub fn take(&mut self, cores: u32, tasks: u32) {
+    /// Subtracts tasks that need `cores` and were sent, best fit first: each from the fullest
+    /// executor that has room for it.
+    pub fn reserve(&mut self, cores: u32, tasks: u32) {
         for _ in 0..tasks {
             let fitting = self.cores.iter_mut().filter(|free| **free >= cores);
             match fitting.min() {
@@ -203,33 +207,34 @@
     }
 }
 
-/// What a former keeper knew of an executor.
+/// The state of an executor, sent by its former keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Yield {
-    /// The executor.
+pub struct Transfer {
+    /// The executor that changes its keeper.
     pub executor: EndpointId,
-    /// The life of it that the rest is about.
-    pub born: Option<Birth>,
-    /// The fencing token that the sender used there.
+    /// The executor's incarnation that the state belongs to; `None` where each incarnation
+    /// registers under a name of its own.
+    pub incarnation: Option<Incarnation>,
+    /// The fencing token that the sender used.
     pub token: u64,
-    /// Ends up to here are known to all whom they concern.
+    /// All ends up to this number were reported to their homes.
     pub acknowledged: u64,
-    /// Runs that are there, or may be.
-    pub runs: Vec<Yielded>,
+    /// Runs that are on the executor, or may be.
+    pub runs: Vec<TransferredRun>,
 }
 
-/// One run that changes its keeper.
+/// One run that gets a new keeper.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Yielded {
-    /// The run.
+pub struct TransferredRun {
+    /// The run at the executor.
     pub run: Run,
-    /// Whose.
+    /// The task that it is a run of.
     pub task: Task,
-    /// What it occupies.
+    /// Resources that it occupies.
     pub needs: Resources,
-    /// Its estimate.
+    /// How long it runs, by the caller's estimate.
     pub estimate: Span,
-    /// How long ago it was started.
+    /// Time since its start was sent.
     pub running_for: Span,
     /// Time until nobody needs its answer.
     pub give_up_in: Span,
--- a/components/runs/src/reports.rs
+++ b/components/runs/src/reports.rs
@@ -1,7 +1,7 @@
-//! Which peers are told of this entry's room and load, and when.
+//! Decides which peers get a report of this entry's room and load, and when.
 //!
-//! Each report costs both ends time, so that most go to few: peers whose jobs wait hear of each
-//! change at once, those near the entry somewhat later, the others rarely.
+//! A report costs sender and receiver processor time, so frequent ones go to few peers: those whose
+//! jobs wait get each change at once, those near this entry somewhat later, the others rarely.
 
 use crate::{Options, message::Report, options::Supply};
 use rustc_hash::FxHashSet;
@@ -10,69 +10,70 @@
     unit::{Span, Time},
 };
 
-/// The peers that may be told.
-pub(crate) struct Audience<'a> {
-    /// All that are connected, the nearest first.
+/// The peers that a report may go to.
+pub(crate) struct Recipients<'a> {
+    /// All connected peers, the nearest first.
     pub(crate) by_distance: &'a [Home],
-    /// Those whose jobs wait for room.
-    pub(crate) waiting: FxHashSet<Home>,
-    /// Those that have tasks of this entry, which they give up when they hear nothing.
+    /// Peers with tasks that are pending for lack of room.
+    pub(crate) pending: FxHashSet<Home>,
+    /// Keepers of this entry's tasks. They stop those tasks if they get no report for too long.
     pub(crate) keepers: FxHashSet<Home>,
 }
 
-/// What peers were last told.
+/// The latest report to each group of peers.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    /// Those whose jobs wait.
-    waiting: Told,
-    /// Those near this entry.
-    near: Told,
-    /// Of the others at least those that have tasks of this entry.
-    far: Told,
-    /// When all were told, and what.
-    all: Told,
+    /// To peers with pending tasks.
+    pending: LastReport,
+    /// To peers near this entry.
+    near: LastReport,
+    /// To the other peers, at least to those that have tasks of this entry.
+    far: LastReport,
+    /// To all peers.
+    all: LastReport,
 }
 
 #[derive(Debug, Default)]
-struct Told {
+struct LastReport {
     report: Report,
     at: Time,
 }
 
-impl Told {
+impl LastReport {
     fn age(&self, now: Time) -> Span {
         now.since(self.at)
     }
 }
 
 impl Reports {
-    /// Whether anybody could be told, whatever there is to tell.
+    /// Whether a report could be due at all. A cheap check before the report is built.
     pub(crate) fn may_be_due(&self, now: Time, options: &Options) -> bool {
-        self.waiting.age(now) >= options.report_interval_waiting
+        self.pending.age(now) >= options.report_interval_waiting
     }
 
-    /// Whom to tell of what is now; they count as told.
+    /// Returns the peers that this report is due to, and records it as sent to them.
     pub(crate) fn take_due(
         &mut self,
         now: Time,
         report: &Report,
         supply: Supply,
-        audience: &Audience<'_>,
+        recipients: &Recipients<'_>,
         options: &Options,
     ) -> Vec<Home> {
-        let Audience { by_distance, waiting, keepers } = audience;
+        let Recipients { by_distance, pending, keepers } = recipients;
         let is_quiet = self.is_quiet(report);
         let near_peers = if is_quiet { 0 } else { options.near_peers };
         let (near, far) = by_distance.split_at(by_distance.len().min(near_peers));
         let interval = options.near_interval(by_distance.len(), supply);
         let near_is_due = self.near_is_due(now, report, interval, options);
-        let urgent = report.is_news(&self.near.report);
+        let urgent = report.has_urgent_change(&self.near.report);
         let mut to = Vec::new();
         if near_is_due {
             to.extend(near);
-            self.near = Told { report: report.clone(), at: now };
+            self.near = LastReport { report: report.clone(), at: now };
         }
-        // Not only along with near peers: keepers of tasks give up a home that they do not hear of.
+        // Not tied to reports to near peers: keepers give up the tasks of a home that does not
+        // report.
         if urgent || self.far.age(now) >= options.report_refresh {
             let interval = match is_quiet {
                 true => options.report_idle,
@@ -80,33 +81,33 @@
             };
             let everyone = urgent || self.all.age(now) >= interval;
             to.extend(far.iter().filter(|peer| everyone || keepers.contains(peer)));
-            self.far = Told { report: report.clone(), at: now };
+            self.far = LastReport { report: report.clone(), at: now };
             if everyone {
-                self.all = Told { report: report.clone(), at: now };
+                self.all = LastReport { report: report.clone(), at: now };
             }
         }
-        let told: FxHashSet<Home> = to.iter().copied().collect();
-        let quick = by_distance.iter().filter(|peer| waiting.contains(peer));
-        let quick: Vec<_> = quick.take(options.near_peers).copied().collect();
-        if !quick.is_empty() && report.room != self.waiting.report.room {
-            to.extend(quick.into_iter().filter(|peer| !told.contains(peer)));
-            self.waiting.report = report.clone();
+        let reported: FxHashSet<Home> = to.iter().copied().collect();
+        let urgent_peers = by_distance.iter().filter(|peer| pending.contains(peer));
+        let urgent_peers: Vec<_> = urgent_peers.take(options.near_peers).copied().collect();
+        if !urgent_peers.is_empty() && report.room != self.pending.report.room {
+            to.extend(urgent_peers.into_iter().filter(|peer| !reported.contains(peer)));
+            self.pending.report = report.clone();
         }
-        self.waiting.at = now;
+        self.pending.at = now;
         to
     }
 
-    /// Whether nobody gains by hearing from this entry: it has no executors, nothing waits for any, and
-    /// all have heard so.
+    /// Whether no peer needs a report: this entry keeps no executor, no task is pending here, and
+    /// all peers have got a report of that.
     fn is_quiet(&self, report: &Report) -> bool {
-        let rests = |report: &Report| report.idle && report.load.waiting == 0;
-        rests(report) && rests(&self.near.report) && rests(&self.all.report)
+        let is_idle = |report: &Report| report.idle && report.load.pending == 0;
+        is_idle(report) && is_idle(&self.near.report) && is_idle(&self.all.report)
     }
 
     fn near_is_due(&self, now: Time, report: &Report, interval: Span, options: &Options) -> bool {
         let last = &self.near.report;
         let age = self.near.age(now);
-        if report.is_news(last) || report.begins_to_wait(last) {
+        if report.has_urgent_change(last) || report.gains_pending_work(last) {
             return true;
         }
         age >= interval && report.room != last.room || age >= options.report_refresh
--- a/components/runs/src/view/absent.rs
+++ b/components/runs/src/view/absent.rs
@@ -1,8 +1,8 @@
-//! Data centres all of whose entries went away.
+//! Data centres whose entries are all absent.
 //!
-//! A data centre that is cut off serves on by itself, and its executors are back together with its entries.
-//! Whoever took them over meanwhile would end what runs there. Only executors that are heard of without
-//! their entries are left alone for good.
+//! A data centre that is cut off continues on its own, and its executors return together with its
+//! entries. Taking its executors over meanwhile would end what runs there. Executors are taken over
+//! only if they renew their registrations and their entries stay absent.
 
 use rustc_hash::FxHashMap;
 use site::{
@@ -10,40 +10,42 @@
     unit::{Span, Time},
 };
 
-/// Data centres whose entries may come back.
+/// Data centres whose entries are absent and may return.
 #[derive(Debug, Default)]
 pub(super) struct Absent {
-    /// When an executor of each was first heard of since.
-    heard: FxHashMap<DataCentreId, Option<Time>>,
+    /// For each, when its executors first renewed their registrations during the absence; `None`
+    /// before that.
+    first_renewals: FxHashMap<DataCentreId, Option<Time>>,
 }
 
 impl Absent {
     pub(super) fn contains(&self, data_centre: DataCentreId) -> bool {
-        self.heard.contains_key(&data_centre)
+        self.first_renewals.contains_key(&data_centre)
     }
 
-    /// The entries of a data centre are gone.
+    /// Records that all entries of a data centre are gone.
     pub(super) fn insert(&mut self, data_centre: DataCentreId) {
-        self.heard.entry(data_centre).or_default();
+        self.first_renewals.entry(data_centre).or_default();
     }
 
-    /// Some entry of a data centre is there.
+    /// Records that an entry of a data centre is present.
     pub(super) fn remove(&mut self, data_centre: DataCentreId) {
-        self.heard.remove(&data_centre);
+        self.first_renewals.remove(&data_centre);
     }
 
-    /// Executors of a data centre were heard of.
-    pub(super) fn hear(&mut self, now: Time, data_centre: DataCentreId) {
-        if let Some(heard) = self.heard.get_mut(&data_centre) {
-            heard.get_or_insert(now);
+    /// Records that executors of a data centre renewed their registrations.
+    pub(super) fn record_renewal(&mut self, now: Time, data_centre: DataCentreId) {
+        if let Some(first_renewal) = self.first_renewals.get_mut(&data_centre) {
+            first_renewal.get_or_insert(now);
         }
     }
 
-    /// Gives up on entries that were not back this long after their executors; returns whether there
-    /// were any.
+    /// Drops the data centres whose entries have not returned within `patience` after their
+    /// executors; returns whether there were any.
     pub(super) fn give_up(&mut self, now: Time, patience: Span) -> bool {
-        let before = self.heard.len();
-        self.heard.retain(|_, heard| heard.is_none_or(|at| now.since(at) < patience));
-        self.heard.len() < before
+        let before = self.first_renewals.len();
+        self.first_renewals
+            .retain(|_, first_renewal| first_renewal.is_none_or(|at| now.since(at) < patience));
+        self.first_renewals.len() < before
     }
 }
--- a/components/runs/src/view/mod.rs
+++ b/components/runs/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! Which entries there are, and which of them keeps an executor.
+//! The entries that this one knows, and which of them keeps an executor.
 
 mod absent;
 
@@ -16,54 +16,54 @@
 const REVISION_SHIFT: u32 = 24;
 /// Bits of a fencing token below the number of tries.
 const TRY_SHIFT: u32 = 16;
-/// The part of a fencing token that differs between entries.
+/// Low bits of a fencing token, which differ between entries.
 const ENTRY_MASK: u64 = (1 << TRY_SHIFT) - 1;
 
-/// Entries whose processor is remembered though neither the store nor a connection tells of them: they
-/// may only be cut off.
-const MOST_MISSING: usize = 1_000;
+/// Number of entries that are neither listed nor connected and whose processor is kept: they may
+/// only be cut off.
+const MAX_ABSENT_PROCESSORS: usize = 1_000;
 
-/// The entries as this one sees them: those that the platform's store lists, and those that a
-/// connection is up to, since a live entry may be cut off from the store.
+/// The entries as this one sees them: those that the platform's store lists and those with a
+/// connection, since a live entry may be cut off from the store.
 #[derive(Debug)]
 pub(crate) struct View {
     me: Home,
     listed: Vec<Home>,
-    /// Those of the listed entries that this one is to be connected to.
+    /// Listed entries that this one has to be connected to.
     partners: Vec<Home>,
-    linked: FxHashSet<Home>,
+    connected: FxHashSet<Home>,
     leaving: FxHashSet<Home>,
     /// Connected entries that keep no executor.
     idle: FxHashSet<Home>,
     revision: Revision,
-    /// The store has listed this entry once. Before that, nobody counts on it, and it may not know
-    /// of the others.
+    /// Whether the store has listed this entry at least once. Before that, other entries don't rely
+    /// on it, and it may not know all of them.
     joined: bool,
-    /// The processor that each entry may use, in order to share executors out by it.
+    /// Processor available to each entry, which determines its share of executors.
     processors: FxHashMap<EntryId, Cores>,
-    /// What an entry needs of it for other work.
+    /// Processor that an entry needs for other work.
     reserve: Cores,
-    /// Live entries that keep executors, sorted; what the above amounts to.
+    /// Live entries that may keep executors, sorted. Derived from the fields above.
     keepers: Vec<Home>,
-    /// Among which of them executors are shared out.
+    /// Entries that executors are distributed among.
     shares: Shares,
-    /// This entry is one of them.
+    /// Whether this entry is one of them.
     has_share: bool,
     absent: Absent,
     /// The connected entries, the nearest first.
     by_distance: Vec<Home>,
 }
 
-/// Among which entries executors are shared out. Entries here have no incarnation, so that a
-/// restart moves nothing.
+/// The entries that executors are distributed among. Their incarnations are cleared, so that a
+/// restart moves no executor.
 #[derive(Debug, Default)]
 struct Shares {
-    /// The keepers of the own data centre.
-    near: Vec<(Home, Weight)>,
+    /// Keepers in this entry's data centre.
+    local: Vec<(Home, Weight)>,
     /// All keepers, for executors of data centres without any.
     all: Vec<(Home, Weight)>,
-    /// Data centres with keepers.
-    staffed: FxHashSet<DataCentreId>,
+    /// Data centres with at least one keeper.
+    with_keepers: FxHashSet<DataCentreId>,
 }
 
 impl View {
@@ -72,7 +72,7 @@
             me,
             listed: Vec::new(),
             partners: Vec::new(),
-            linked: FxHashSet::default(),
+            connected: FxHashSet::default(),
             leaving: FxHashSet::default(),
             idle: FxHashSet::default(),
             revision: Revision(0),
@@ -89,8 +89,8 @@
         view
     }
 
-    /// Takes a list of the store in; returns whether the keepers changed.
-    pub(crate) fn list(&mut self, revision: Revision, members: Vec<Home>) -> bool {
+    /// Applies a list from the store; returns whether the keepers changed.
+    pub(crate) fn set_listed(&mut self, revision: Revision, members: Vec<Home>) -> bool {
         self.revision = self.revision.max(revision);
         self.joined |= members.contains(&self.me);
         if members != self.listed {
@@ -100,50 +100,50 @@
         self.refresh()
     }
 
-    /// Notes what entries may use; returns whether that changed anything. Entries that are no longer
-    /// listed may still be connected.
+    /// Records the processor of entries; returns whether that changed anything. Entries that are no
+    /// longer listed may still be connected.
     pub(crate) fn set_processors(&mut self, processors: Vec<(EntryId, Cores)>) -> bool {
-        let present = processors.len() + self.linked.len();
+        let present = processors.len() + self.connected.len();
         let mut changed = false;
         for (entry, cores) in processors {
             changed |= self.processors.insert(entry, cores) != Some(cores);
         }
-        if self.processors.len() > present + MOST_MISSING {
+        if self.processors.len() > present + MAX_ABSENT_PROCESSORS {
             self.forget_processors();
         }
         if changed {
-            self.share_out();
+            self.distribute();
         }
         changed
     }
 
-    /// Forgets the processors of entries that are neither listed nor connected.
+    /// Drops the processors of entries that are neither listed nor connected.
     fn forget_processors(&mut self) {
         let present: FxHashSet<EntryId> =
-            self.listed.iter().chain(&self.linked).map(|home| home.entry).collect();
+            self.listed.iter().chain(&self.connected).map(|home| home.entry).collect();
         self.processors.retain(|entry, _| present.contains(entry));
     }
 
-    /// The store was seen at this revision, here or by a peer.
-    pub(crate) fn see(&mut self, revision: Revision) {
+    /// Records that the store has reached this revision, as seen here or by a peer.
+    pub(crate) fn observe_revision(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
     pub(crate) fn connect(&mut self, peer: Home) -> bool {
-        self.linked.insert(peer);
-        self.sort_linked();
+        self.connected.insert(peer);
+        self.sort_connected();
         self.refresh()
     }
 
     pub(crate) fn disconnect(&mut self, peer: Home) -> bool {
-        self.linked.remove(&peer);
+        self.connected.remove(&peer);
         self.leaving.remove(&peer);
         self.idle.remove(&peer);
-        self.sort_linked();
+        self.sort_connected();
         self.refresh()
     }
 
-    /// Notes whether an entry is about to stop.
+    /// Records whether an entry is draining; returns whether the keepers changed.
     pub(crate) fn set_leaving(&mut self, entry: Home, leaving: bool) -> bool {
         let changed = match leaving {
             true => self.leaving.insert(entry),
@@ -152,7 +152,7 @@
         changed && self.refresh()
     }
 
-    /// Notes whether a connected entry keeps no executor.
+    /// Records whether a connected entry keeps no executor.
     pub(crate) fn set_idle(&mut self, entry: Home, idle: bool) {
         match idle {
             true => self.idle.insert(entry),
@@ -160,9 +160,9 @@
         };
     }
 
-    /// The connected entries that may have executors to hand over.
+    /// The connected entries that may have executors to transfer.
     pub(crate) fn claimable(&self) -> impl Iterator<Item = Home> {
-        self.linked().filter(|home| !self.idle.contains(home))
+        self.connected().filter(|home| !self.idle.contains(home))
     }
 
     pub(crate) fn revision(&self) -> Revision {
@@ -173,42 +173,43 @@
         self.leaving.contains(&self.me)
     }
 
-    pub(crate) fn linked(&self) -> impl Iterator<Item = Home> {
-        self.linked.iter().copied()
+    pub(crate) fn connected(&self) -> impl Iterator<Item = Home> {
+        self.connected.iter().copied()
     }
 
-    /// The connected entries, the nearest first: those of the own data centre, then others in an
-    /// order that differs from entry to entry.
+    /// The connected entries, the nearest first: those of this data centre, then the others in an
+    /// order that differs between entries.
     pub(crate) fn by_distance(&self) -> &[Home] {
         &self.by_distance
     }
 
-    fn sort_linked(&mut self) {
+    fn sort_connected(&mut self) {
         let me = self.me;
         let distance = |home: &Home| {
             let far = home.data_centre != me.data_centre;
             (far, home.entry.0.wrapping_sub(me.entry.0))
         };
-        let mut linked: Vec<_> = self.linked().collect();
-        linked.sort_unstable_by_key(distance);
-        self.by_distance = linked;
+        let mut connected: Vec<_> = self.connected().collect();
+        connected.sort_unstable_by_key(distance);
+        self.by_distance = connected;
     }
 
-    /// Whether all entries that the store lists are connected, as far as they are to be.
+    /// Whether all listed entries that this one has to be connected to are connected.
     pub(crate) fn is_connected(&self) -> bool {
-        self.partners.iter().all(|home| self.linked.contains(home))
+        self.partners.iter().all(|home| self.connected.contains(home))
     }
 
     pub(crate) fn keepers(&self) -> &[Home] {
         &self.keepers
     }
 
-    /// Whether this entry is to keep executors, if there are any to keep.
+    /// Whether this entry has to keep executors, if there are any.
     pub(crate) fn is_keeper(&self) -> bool {
         self.joined && self.has_share
     }
 
-    /// Whether it is so for want of larger entries, which may only be starting.
+    /// Whether it keeps executors only because no larger entry is known. Larger ones may be
+    /// starting.
     pub(crate) fn is_stopgap(&self) -> bool {
         let own = self.processors.get(&self.me.entry).copied().unwrap_or_default();
         own > Cores(0) && own <= self.reserve
@@ -218,31 +219,31 @@
         self.listed.len()
     }
 
-    /// Whether this entry is to keep an executor: one of the executor's data centre if there is
-    /// any, chosen alike by all who see the same entries.
+    /// Whether this entry has to keep an executor. The keeper is in the executor's data centre if
+    /// possible, and all entries with the same view choose the same one.
     pub(crate) fn keeps(&self, executor: &Executor) -> bool {
         if !self.joined {
             return false;
         }
-        let Shares { near, all, staffed } = &self.shares;
+        let Shares { local, all, with_keepers } = &self.shares;
         let homes = match executor.data_centre {
-            own if own == self.me.data_centre && staffed.contains(&own) => near,
-            other if staffed.contains(&other) || self.absent.contains(other) => return false,
+            own if own == self.me.data_centre && with_keepers.contains(&own) => local,
+            other if with_keepers.contains(&other) || self.absent.contains(other) => return false,
             _ => all,
         };
-        rendezvous::weighted_keeper(homes, executor.id) == Some(stable(&self.me))
+        rendezvous::weighted_keeper(homes, executor.id) == Some(without_incarnation(&self.me))
     }
 
-    /// A fencing token for an executor that this entry begins to keep. Higher than that of any
-    /// entry that took it over at an earlier revision of the store, and never the same as another
-    /// entry's. `tries` counts the refusals so far.
+    /// A fencing token for an executor that this entry begins to keep. It is higher than that of
+    /// any entry that took the executor over at an earlier revision of the store, and unique to
+    /// this entry. `tries` is the number of fenced attempts so far.
     pub(crate) fn token(&self, tries: u8) -> u64 {
         self.revision.0 << REVISION_SHIFT
             | u64::from(tries) << TRY_SHIFT
             | self.me.entry.0 & ENTRY_MASK
     }
 
-    /// A fencing token of this entry that is higher than another one.
+    /// A fencing token of this entry that is higher than `token`.
     pub(crate) fn token_above(&self, token: u64) -> u64 {
         match self.token(0) {
             own if own > token => own,
@@ -252,7 +253,7 @@
 
     fn refresh(&mut self) -> bool {
         let mut keepers = vec![self.me];
-        keepers.extend(self.linked.iter().filter(|home| home.entry != self.me.entry));
+        keepers.extend(self.connected.iter().filter(|home| home.entry != self.me.entry));
         let mut known: FxHashSet<EntryId> = keepers.iter().map(|home| home.entry).collect();
         keepers.extend(self.listed.iter().filter(|home| known.insert(home.entry)));
         // Of two processes of one entry, the listed one is the newer unless it is unreachable.
@@ -263,30 +264,35 @@
         let changed = keepers != self.keepers;
         if changed {
             self.keepers = keepers;
-            self.share_out();
+            self.distribute();
         }
         changed
     }
 
-    fn share_out(&mut self) {
+    fn distribute(&mut self) {
         let weighed = self.weigh(&self.keepers);
-        let weighed: Vec<_> =
-            weighed.into_iter().map(|(home, weight)| (stable(&home), weight)).collect();
-        let me = stable(&self.me);
+        let weighed: Vec<_> = weighed
+            .into_iter()
+            .map(|(home, weight)| (without_incarnation(&home), weight))
+            .collect();
+        let me = without_incarnation(&self.me);
         self.has_share = weighed.iter().any(|(home, weight)| *home == me && weight.0 > 0);
         let shares = Shares::new(self.me.data_centre, weighed);
         let before = std::mem::replace(&mut self.shares, shares);
-        before.staffed.difference(&self.shares.staffed).for_each(|gone| self.absent.insert(*gone));
-        self.shares.staffed.iter().for_each(|there| self.absent.remove(*there));
+        before
+            .with_keepers
+            .difference(&self.shares.with_keepers)
+            .for_each(|gone| self.absent.insert(*gone));
+        self.shares.with_keepers.iter().for_each(|there| self.absent.remove(*there));
     }
 
-    /// Executors of these data centres have renewed their registrations.
-    pub(crate) fn hear_executors(&mut self, now: Time, data_centres: &[DataCentreId]) {
-        data_centres.iter().for_each(|data_centre| self.absent.hear(now, *data_centre));
+    /// Records that executors of these data centres have renewed their registrations.
+    pub(crate) fn record_renewals(&mut self, now: Time, data_centres: &[DataCentreId]) {
+        data_centres.iter().for_each(|data_centre| self.absent.record_renewal(now, *data_centre));
     }
 
-    /// Gives up on data centres whose entries stay away while their executors are there; returns whether
-    /// that changed what is to be kept.
+    /// Stops waiting for the entries of data centres whose executors returned without them; returns
+    /// whether that may change which executors to keep.
     pub(crate) fn give_up_absent(&mut self, now: Time, patience: Span) -> bool {
         self.absent.give_up(now, patience)
     }
@@ -300,13 +306,13 @@
 
 impl Shares {
     fn new(own: DataCentreId, all: Vec<(Home, Weight)>) -> Self {
-        let near = all.iter().filter(|(home, _)| home.data_centre == own).copied().collect();
-        let staffed = all.iter().map(|(home, _)| home.data_centre).collect();
-        Self { near, all, staffed }
+        let local = all.iter().filter(|(home, _)| home.data_centre == own).copied().collect();
+        let with_keepers = all.iter().map(|(home, _)| home.data_centre).collect();
+        Self { local, all, with_keepers }
     }
 }
 
-/// An entry without its incarnation.
-fn stable(home: &Home) -> Home {
+/// The entry with its incarnation cleared.
+fn without_incarnation(home: &Home) -> Home {
     Home { incarnation: Incarnation(0), ..*home }
 }
--- a/components/runs/src/following.rs
+++ b/components/runs/src/watch.rs
@@ -1,22 +1,22 @@
-//! Whether an entry reads the registrations of executors.
+//! Decides whether an entry watches the registrations of executors.
 //!
-//! Every executor renews its registration all the time. Only entries that keep executors read them, so
-//! that this does not cost each entry of a large site what it costs all of them.
+//! Every executor renews its registration continually. Only entries that keep executors watch them;
+//! otherwise the cost would grow with the number of entries times the number of executors.
 
 use crate::{Options, view::View};
 use site::unit::Time;
 
-/// Whether the entry reads the registrations of executors.
+/// Whether this entry watches the registrations of executors.
 #[derive(Debug, Default)]
-pub(crate) struct Following {
+pub(crate) struct ExecutorWatch {
     is_on: bool,
-    /// Since when the entry is to keep executors; `None` if it is not.
+    /// Since when this entry has to keep executors; `None` if it has not.
     wanted: Option<Time>,
 }
 
-impl Following {
-    /// Decides anew; returns what is to be done if that differs from before. `keeps_nothing` is false
-    /// while the entry has executors in use, whether it is to keep them or not.
+impl ExecutorWatch {
+    /// Updates the decision and returns it if it changed. `keeps_nothing` is false while the entry
+    /// has executors in use, including ones that it is about to transfer.
     pub(crate) fn update(
         &mut self,
         now: Time,
--- a/components/runs/tests/common/fixture.rs
+++ b/components/runs/tests/common/fixture.rs
@@ -1,4 +1,4 @@
-//! One entry, one executor and one job, for tests that hand events to a single entry.
+//! One entry, one executor and one job, for tests that feed events to a single entry.
 
 use runs::{Executor, Job};
 use site::{
@@ -10,12 +10,12 @@
     Home { data_centre: DataCentreId(1), entry: EntryId::of(name), incarnation: Incarnation(7) }
 }
 
-/// An executor with 8 slots of 8 cores.
+/// An executor with 8 slots and 64 cores.
 pub(crate) fn executor() -> Executor {
     Executor {
         id: EndpointId::of("i-1"),
         name: "i-1".into(),
-        born: None,
+        incarnation: None,
         address: ([127, 0, 0, 1], 1).into(),
         data_centre: DataCentreId(1),
         service: ServiceId::of("service"),
@@ -25,12 +25,12 @@
     }
 }
 
-/// What a task of [`job`] needs.
+/// The resources that a task of [`job`] needs.
 pub(crate) fn needs() -> Resources {
     Resources { slots: Slots(1), cores: Cores(1_000), ..Resources::default() }
 }
 
-/// A job of one task that runs about 900 ms.
+/// A job of one task with an estimate of 900 ms.
 pub(crate) fn job(now: Time) -> Job {
     Job {
         name: "00000000000000aa".into(),
--- a/components/runs/tests/common/mod.rs
+++ b/components/runs/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small things for tests that hand events to single entries.
+//! Helpers for tests that feed events to single entries.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
--- a/components/runs/tests/cordon.rs
+++ b/components/runs/tests/cordon.rs
@@ -1,4 +1,4 @@
-//! Data centres that an operator has put under cordon: nothing is started there.
+//! Data centres under cordon: nothing is started there.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use lab::world::{Fault, Plan, World};
 use runs::{
     Action, Cordon, Entry, Event, Executor, Job, Message, Options,
-    executor::{Answered, Ended, How, Lists},
+    executor::{Ended, Listing, Response, RunResult},
     job::{Answer, Run},
     message::Report,
 };
@@ -19,14 +19,14 @@
 /// The data centre of [`executor`].
 const HERE: DataCentreId = DataCentreId(1);
 
-/// An entry that keeps one executor in each of two data centres and answers looks at once.
+/// An entry that keeps one executor in each of two data centres. Short polls are answered at once.
 struct Site {
     entry: Entry,
     now: Time,
     started: Vec<EndpointId>,
     runs: Vec<Run>,
-    /// The latest look at each executor that is not answered yet.
-    looks: BTreeMap<EndpointId, u64>,
+    /// The latest poll of each executor that has got no response.
+    polls: BTreeMap<EndpointId, u64>,
     answers: Vec<Answer>,
 }
 
@@ -40,7 +40,7 @@
             now,
             started: Vec::new(),
             runs: Vec::new(),
-            looks: BTreeMap::new(),
+            polls: BTreeMap::new(),
             answers: Vec::new(),
         };
         site.feed(Event::Members { revision: Revision(41), members: vec![me] });
@@ -61,14 +61,14 @@
                         self.runs.push(start.run);
                     }
                     Action::Answer { answer, .. } => self.answers.push(answer),
-                    Action::Look(look) if look.wait == Span::ZERO => {
-                        let lists = Lists { clock: self.now.0 / 1_000, ..Lists::default() };
-                        let (executor, number) = (look.executor, look.number);
-                        let reply = Answered::Done(lists);
-                        events.push(Event::Looked { executor, number, reply });
+                    Action::Poll(poll) if poll.wait == Span::ZERO => {
+                        let listing = Listing { clock: self.now.0 / 1_000, ..Listing::default() };
+                        let (executor, number) = (poll.executor, poll.number);
+                        let reply = Response::Done(listing);
+                        events.push(Event::Polled { executor, number, reply });
                     }
-                    Action::Look(look) => {
-                        self.looks.insert(look.executor, look.number);
+                    Action::Poll(poll) => {
+                        self.polls.insert(poll.executor, poll.number);
                     }
                     _ => {}
                 }
@@ -76,14 +76,14 @@
         }
     }
 
-    /// The only run at an executor ends well.
+    /// Completes the only run of an executor.
     fn end(&mut self, executor: EndpointId) {
         let index = self.started.iter().position(|started| *started == executor);
         let run = index.map(|index| self.runs[index].clone());
-        let ended = vec![Ended { number: 1, run, how: How::Done }];
-        let lists = Lists { clock: self.now.0 / 1_000, ended, ..Lists::default() };
-        let number = self.looks[&executor];
-        self.feed(Event::Looked { executor, number, reply: Answered::Done(lists) });
+        let ended = vec![Ended { number: 1, run, result: RunResult::Done }];
+        let listing = Listing { clock: self.now.0 / 1_000, ended, ..Listing::default() };
+        let number = self.polls[&executor];
+        self.feed(Event::Polled { executor, number, reply: Response::Done(listing) });
     }
 
     fn run(&mut self, span: Span) {
@@ -104,12 +104,12 @@
         self.feed(Event::Submit { waiter: WaiterId(number), job });
     }
 
-    fn is_refused(&self) -> bool {
-        matches!(self.answers[..], [Answer::Refused { .. }])
+    fn is_rejected(&self) -> bool {
+        matches!(self.answers[..], [Answer::Rejected { .. }])
     }
 }
 
-/// An executor of a data centre without entries.
+/// An executor in a data centre without entries.
 fn other() -> Executor {
     Executor {
         id: EndpointId::of("i-2"),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_waits_is_not_started_where_room_comes_free_under_a_cordon() {
+fn pending_tasks_are_not_started_when_room_becomes_free_under_a_cordon() {
     let mut site = Site::start();
     site.submit_wide(1, 60_000);
     site.submit_wide(2, 60_000);
@@ -156,29 +156,29 @@
 }
 
 #[test]
-fn with_every_executor_under_cordon_jobs_are_refused_at_once() {
+fn jobs_are_rejected_at_once_while_all_executors_are_under_cordon() {
     let mut site = Site::start();
     site.feed(Event::Cordoned(cordon(50, &[1, 2])));
     site.submit(1);
-    assert!(site.is_refused(), "{:?}", site.answers);
+    assert!(site.is_rejected(), "{:?}", site.answers);
     site.feed(Event::Cordoned(cordon(51, &[1])));
     site.submit(2);
     assert_eq!(site.started, [other().id]);
 }
 
 #[test]
-fn jobs_that_wait_are_refused_when_the_last_executor_comes_under_cordon() {
+fn pending_jobs_are_rejected_when_the_last_executor_comes_under_cordon() {
     let mut site = Site::start();
     site.submit_wide(1, 60_000);
     site.submit_wide(2, 60_000);
     site.submit_wide(3, 60_000);
     site.feed(Event::Cordoned(cordon(50, &[1, 2])));
-    assert!(site.is_refused(), "{:?}", site.answers);
+    assert!(site.is_rejected(), "{:?}", site.answers);
     assert_eq!(site.started.len(), 2, "what runs goes on");
 }
 
 #[test]
-fn a_cordon_around_an_unknown_data_centre_changes_nothing() {
+fn a_cordon_of_an_unknown_data_centre_changes_nothing() {
     let mut site = Site::start();
     site.feed(Event::Cordoned(cordon(50, &[77])));
     site.submit(1);
@@ -186,13 +186,13 @@
 }
 
 #[test]
-fn an_older_cordon_never_comes_back() {
+fn an_older_cordon_is_ignored() {
     let mut site = Site::start();
     site.feed(Event::Cordoned(cordon(60, &[1])));
     site.feed(Event::Cordoned(cordon(55, &[])));
     site.submit(1);
     assert_eq!(site.started, [other().id]);
-    // Unchanged, but known to hold at a later revision than what a peer says next.
+    // Unchanged, but read at a later revision than the cordon that a peer reports next.
     site.feed(Event::Cordoned(cordon(70, &[1])));
     let peer = home("entry-2");
     site.feed(Event::PeerUp { peer });
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_entry_that_the_store_does_not_tell_hears_of_a_cordon_from_its_peers() {
+fn a_cordon_in_a_peer_s_report_is_applied() {
     let mut site = Site::start();
     let peer = home("entry-2");
     site.feed(Event::PeerUp { peer });
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn peers_are_told_of_a_cordon_at_once() {
+fn a_cordon_is_reported_to_all_peers_at_once() {
     let me = home("entry-1");
     let begun = Time(1_000_000);
     let mut entry = Entry::new(me, Options::default(), begun);
@@ -228,13 +228,13 @@
     let now = begun + Span::from_millis(25);
     entry.handle(now, Event::Cordoned(cordon(50, &[1])), &mut out);
     for peer in peers {
-        let told = out.iter().any(|action| match action {
+        let has_report = out.iter().any(|action| match action {
             Action::Send { to, message: Message::Report(report) } => {
                 *to == peer && report.cordon.covers(HERE)
             }
             _ => false,
         });
-        assert!(told, "{peer} was not told");
+        assert!(has_report, "{peer} got no report of it");
     }
 }
 
@@ -260,9 +260,9 @@
     Fault::Cordon { data_centre, ms }
 }
 
-/// The world checks at each start that its data centre is not under cordon.
+/// The simulation checks at each start that the executor's data centre is not under cordon.
 #[test]
-fn a_calm_day_with_cordons_completes_nearly_everything() {
+fn nearly_all_jobs_complete_despite_cordons() {
     for seed in 0..4 {
         let faults = vec![
             (1_000, cordoned(0, 7_000)),
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn two_data_centres_and_all_of_them() {
+fn jobs_are_rejected_while_all_data_centres_are_under_cordon() {
     let faults = vec![
         (1_000, cordoned(0, 10_000)),
         (2_000, cordoned(1, 10_000)),
@@ -302,9 +302,9 @@
     }
 }
 
-/// All processes are killed at once under a cordon that they have to learn anew.
+/// All processes are killed at once under a cordon that they have to read again.
 #[test]
-fn a_common_stop_forgets_no_cordon() {
+fn a_cordon_holds_after_all_entries_were_killed() {
     for seed in 0..4 {
         let mut faults = vec![(500, cordoned(1, 9_000))];
         faults.extend((0..6).map(|entry| (6_000, Fault::Kill { entry })));
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn an_entry_that_the_store_refuses_keeps_to_cordons() {
+fn entries_without_the_store_respect_cordons() {
     for seed in 0..4 {
         let mut faults: Vec<_> =
             (0..6).step_by(2).map(|entry| (400, Fault::Blind { entry, ms: 12_000 })).collect();
--- a/components/runs/tests/following.rs
+++ b/components/runs/tests/executor_watch.rs
@@ -1,5 +1,5 @@
-//! Which entries read the registrations of executors. Each of these is renewed all the time, so that
-//! what they cost would otherwise grow with the entries times the executors.
+//! Which entries watch the registrations of executors. Each registration is renewed continually, so
+//! the cost would otherwise grow with the number of entries times the number of executors.
 
 mod common;
 
@@ -14,13 +14,13 @@
     unit::{Cores, Revision, Span, Time},
 };
 
-const STEP: Span = Span::from_millis(20);
+const TICK_INTERVAL: Span = Span::from_millis(20);
 
 struct Scene {
     entry: Entry,
     now: Time,
     revision: u64,
-    following: Option<bool>,
+    is_watching: Option<bool>,
     answers: Vec<Answer>,
 }
 
@@ -28,7 +28,7 @@
     fn new(options: Options) -> Self {
         let now = Time(1_000_000);
         let entry = Entry::new(home("entry-0"), options, now);
-        Scene { entry, now, revision: 40, following: None, answers: Vec::new() }
+        Scene { entry, now, revision: 40, is_watching: None, answers: Vec::new() }
     }
 
     fn feed(&mut self, event: Event) {
@@ -36,14 +36,14 @@
         self.entry.handle(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::FollowExecutors(wanted) => self.following = Some(wanted),
+                Action::WatchExecutors(wanted) => self.is_watching = Some(wanted),
                 Action::Answer { answer, .. } => self.answers.push(answer),
                 _ => {}
             }
         }
     }
 
-    /// The store lists the entry with others, whose processors these are.
+    /// Lists the entry with `own` processor, and other entries with the given processors.
     fn list(&mut self, own: u32, others: &[u32]) {
         self.revision += 1;
         let others = others.iter().enumerate();
@@ -58,12 +58,12 @@
     fn wait(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
-            self.now = self.now + STEP;
+            self.now = self.now + TICK_INTERVAL;
             self.feed(Event::Tick);
         }
     }
 
-    /// A keeper in the entry's data centre says what it has.
+    /// Delivers a report of a keeper in the entry's data centre.
     fn report(&mut self, peer: Home, report: Report) {
         let report = Report { sent: self.now, capacity: 8, ..report };
         self.feed(Event::Message { from: peer, message: Message::Report(report) });
@@ -71,57 +71,57 @@
 }
 
 #[test]
-fn small_entries_beside_large_ones_never_read_them() {
+fn small_entries_beside_large_ones_never_watch() {
     let mut scene = Scene::new(Options::default());
     scene.list(120, &[1_000, 1_000, 120, 120]);
     scene.wait(Span::from_secs(2));
-    assert_eq!(scene.following, None);
+    assert_eq!(scene.is_watching, None);
 }
 
 #[test]
-fn entries_that_are_alike_all_read_them_at_once() {
+fn entries_of_equal_size_all_watch_at_once() {
     for cores in [0, 250] {
         let mut scene = Scene::new(Options::default());
         scene.list(cores, &[cores; 4]);
-        assert_eq!(scene.following, Some(true), "at {cores}");
+        assert_eq!(scene.is_watching, Some(true), "at {cores}");
     }
 }
 
-/// All start at the same time, and the large ones may be seen last.
+/// All entries start at the same time, and the large ones may be listed last.
 #[test]
-fn a_small_entry_leaves_large_ones_time_to_start() {
+fn a_small_entry_gives_large_ones_time_to_start() {
     let mut scene = Scene::new(Options::default());
     scene.list(120, &[120]);
     scene.wait(Span::from_millis(60));
     scene.list(120, &[120, 1_000]);
     scene.wait(Span::from_secs(1));
-    assert_eq!(scene.following, None);
+    assert_eq!(scene.is_watching, None);
 }
 
 #[test]
-fn a_small_entry_reads_them_while_there_is_no_large_one() {
+fn a_small_entry_watches_while_there_is_no_large_one() {
     let mut scene = Scene::new(Options::default());
     scene.list(120, &[1_000, 120]);
     scene.wait(Span::from_secs(1));
     scene.list(120, &[]);
     scene.wait(Span::from_millis(200));
-    assert_eq!(scene.following, Some(true));
+    assert_eq!(scene.is_watching, Some(true));
     scene.feed(Event::Executors(vec![executor()]));
     scene.list(120, &[1_000, 120]);
     scene.wait(Span::from_millis(200));
-    assert_eq!(scene.following, Some(false));
+    assert_eq!(scene.is_watching, Some(false));
 }
 
 #[test]
-fn the_switch_makes_all_read_them() {
+fn all_entries_watch_without_follow_if_keeper() {
     let mut scene = Scene::new(Options { follow_if_keeper: false, ..Options::default() });
     scene.list(120, &[1_000]);
-    assert_eq!(scene.following, Some(true));
+    assert_eq!(scene.is_watching, Some(true));
 }
 
-/// Such an entry knows no executors, and still tells at once that a job can't be done.
+/// Such an entry knows no executors, but has to reject at once a job that can't run.
 #[test]
-fn jobs_are_refused_where_all_keepers_are_under_cordon() {
+fn jobs_are_rejected_while_all_keepers_are_under_cordon() {
     let mut scene = Scene::new(Options::default());
     scene.list(120, &[1_000, 1_000]);
     let keepers = [home("entry-1"), home("entry-2")];
@@ -134,7 +134,7 @@
     scene.feed(Event::Submit { waiter: WaiterId(1), job: job(scene.now) });
     assert_eq!(scene.answers, [], "one of them still takes work");
     scene.report(keepers[1], Report { cordoned: true, ..Report::default() });
-    assert!(matches!(scene.answers[..], [Answer::Refused { .. }]), "{:?}", scene.answers);
+    assert!(matches!(scene.answers[..], [Answer::Rejected { .. }]), "{:?}", scene.answers);
     scene.feed(Event::Submit { waiter: WaiterId(2), job: job(scene.now) });
-    assert!(matches!(scene.answers[..], [_, Answer::Refused { .. }]), "{:?}", scene.answers);
+    assert!(matches!(scene.answers[..], [_, Answer::Rejected { .. }]), "{:?}", scene.answers);
 }
--- a/components/runs/tests/days.rs
+++ b/components/runs/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Days of a small site with faults, alone and mixed, checked at every moment.
+//! Simulations of a small site with faults, single and combined, whose invariants are checked at
+//! each step.
 
 use lab::world::{Fault, Plan, World};
 use rand::{Rng, SeedableRng};
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn calm_day_completes_everything() {
+fn all_jobs_complete_without_faults() {
     let world = play(plan(Vec::new()), 1);
     assert_eq!(
         world.answers.keys().copied().collect::<Vec<_>>(),
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn overload_refuses_what_has_not_run() {
+fn overload_rejects_jobs_that_have_not_run() {
     let (mut completed, mut given_up) = (0, 0);
     for seed in 0..8 {
         let mut plan = plan(Vec::new());
@@ -50,7 +51,7 @@
         given_up += count(&world, "given-up");
     }
     assert!(completed > 8 * 200, "{completed} completed");
-    // What has run is not thrown away for what has not.
+    // Jobs that have run are not given up in favour of jobs that have not.
     assert!(given_up < completed / 20, "{given_up} given up, {completed} completed");
 }
 
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_keeper_that_was_frozen_does_not_vouch_for_a_dead_home() {
+fn a_keeper_that_was_frozen_renews_no_lease_for_a_dead_home() {
     for seed in 0..60 {
         let mut faults = Vec::new();
         for round in 0..4 {
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn cut_entries_go_on() {
+fn entries_continue_after_a_partition() {
     for seed in 0..5 {
         let faults = vec![
             (1_000, Fault::Cut { entry: 0, ms: 2_500 }),
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn dark_and_crashed_executors_lose_their_tasks_only() {
+fn unresponsive_and_crashed_executors_lose_only_their_own_tasks() {
     for seed in 0..5 {
         let faults = vec![
             (1_000, Fault::Dark { executor: 0, ms: 2_500 }),
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn tasks_of_a_dark_executor_run_elsewhere_once_its_lease_is_over() {
+fn tasks_of_an_unresponsive_executor_run_elsewhere_after_its_lease() {
     for seed in 0..5 {
         let faults = vec![
             (1_000, Fault::Dark { executor: 0, ms: 60_000 }),
@@ -121,19 +122,19 @@
             (2_000, Fault::Dark { executor: 10, ms: 60_000 }),
         ];
         let world = play(plan(faults), seed);
-        // Jobs of 60 ms tasks may be too late after a lease of 700 ms; the others are not.
+        // Jobs with tasks of 60 ms may be too late after a lease of 700 ms; the others are not.
         assert!(count(&world, "given-up") <= 3, "{:?}", world.answers);
     }
 }
 
 #[test]
-fn lost_and_late_orders_start_nothing_twice() {
+fn lost_and_late_orders_cause_no_double_start() {
     for seed in 0..10 {
         let mut plan = plan(Vec::new());
         plan.lost_orders = Some(15);
         let world = play(plan, seed);
         println!("seed {seed}: {:?}", world.answers);
-        // A seed also decides how many jobs come.
+        // The seed also determines the number of jobs.
         let asked: u64 = world.answers.values().sum();
         assert!(count(&world, "completed") * 100 > asked * 96, "seed {seed}: {:?}", world.answers);
     }
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn a_stopping_entry_finishes_and_exits() {
+fn a_draining_entry_finishes_its_jobs_and_exits() {
     let faults = vec![(2_000, Fault::Drain { entry: 1 })];
     let world = play(plan(faults), 4);
     assert!(world.has_exited(1));
@@ -155,13 +156,13 @@
 }
 
 #[test]
-fn callers_who_leave_leave_nothing_running() {
+fn tasks_of_callers_that_left_are_stopped() {
     let faults = (0..9).map(|n| (500 + n * 1_000, Fault::GiveUp)).collect();
     play(plan(faults), 5);
 }
 
 #[test]
-fn mixed_days_keep_the_promises() {
+fn random_faults_violate_no_invariant() {
     for seed in 100..140 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut faults = Vec::new();
--- a/components/runs/tests/lives.rs
+++ b/components/runs/tests/incarnations.rs
@@ -1,12 +1,13 @@
-//! Executors that crash and come back under the name that they had, and tasks that crash them.
+//! Executors that crash and start a new incarnation under the same name, and tasks that crash their
+//! executors.
 
 mod common;
 
 use common::fixture::{executor, home, job, needs};
 use runs::{
     Action, Entry, Event, Executor, Job, Options,
-    action::Look,
-    executor::{Answered, Birth, Ended, How, Lists, Service, Started},
+    action::Poll,
+    executor::{Ended, Incarnation, Listing, Response, RunResult, Service, StartResponse},
     job::{Answer, Run},
 };
 use site::{
@@ -15,25 +16,25 @@
 };
 use std::collections::BTreeMap;
 
-const STEP: Span = Span::from_millis(5);
+const TICK_INTERVAL: Span = Span::from_millis(5);
 
-/// One executor as the test has it.
-struct Life {
-    born: Option<Birth>,
-    begun: Time,
+/// One simulated executor.
+struct FakeExecutor {
+    incarnation: Option<Incarnation>,
+    started_at: Time,
     running: Vec<Run>,
     ended: Vec<Ended>,
-    /// Whether it answers anything.
+    /// Whether it responds to anything.
     is_up: bool,
 }
 
-/// An entry and its executors, which answer at once.
+/// An entry and its executors, which respond to orders at once.
 struct Scene {
     entry: Entry,
     now: Time,
-    lives: BTreeMap<EndpointId, Life>,
+    executors: BTreeMap<EndpointId, FakeExecutor>,
     starts: Vec<(EndpointId, Run, u64)>,
-    looks: Vec<Look>,
+    polls: Vec<Poll>,
     answers: Vec<Answer>,
     jobs: u64,
 }
@@ -45,9 +46,12 @@
         let mut scene = Scene {
             entry: Entry::new(me, Options::default(), now),
             now,
-            lives: executors.iter().map(|e| (e.id, Life::new(e.born, now))).collect(),
+            executors: executors
+                .iter()
+                .map(|e| (e.id, FakeExecutor::new(e.incarnation, now)))
+                .collect(),
             starts: Vec::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
             answers: Vec::new(),
             jobs: 0,
         };
@@ -70,18 +74,18 @@
         match action {
             Action::Start(start) => {
                 self.starts.push((start.executor, start.run.clone(), start.deadline));
-                let life = self.lives.get_mut(&start.executor)?;
-                let reply = match life.is_up {
+                let fake = self.executors.get_mut(&start.executor)?;
+                let reply = match fake.is_up {
                     true => {
-                        life.running.push(start.run.clone());
-                        Started::Running { clock: life.clock(self.now) }
+                        fake.running.push(start.run.clone());
+                        StartResponse::Running { clock: fake.clock(self.now) }
                     }
-                    false => Started::Unknown,
+                    false => StartResponse::Unknown,
                 };
                 Some(Event::Started { executor: start.executor, run: start.run, reply })
             }
-            Action::Look(look) => {
-                self.looks.push(look);
+            Action::Poll(poll) => {
+                self.polls.push(poll);
                 None
             }
             Action::Answer { answer, .. } => {
@@ -89,34 +93,34 @@
                 None
             }
             Action::Stop { executor, run, .. } => {
-                Some(Event::Stopped { executor, run, reply: Answered::Done(()) })
+                Some(Event::Stopped { executor, run, reply: Response::Done(()) })
             }
             _ => None,
         }
     }
 
-    /// Answers the looks that are on their way.
-    fn answer_looks(&mut self) {
-        for look in std::mem::take(&mut self.looks) {
-            let life = &self.lives[&look.executor];
-            let reply = match life.is_up {
-                true => Answered::Done(life.lists(self.now, look.acknowledged)),
-                false => Answered::Silent,
+    /// Responds to the outstanding polls.
+    fn answer_polls(&mut self) {
+        for poll in std::mem::take(&mut self.polls) {
+            let fake = &self.executors[&poll.executor];
+            let reply = match fake.is_up {
+                true => Response::Done(fake.listing(self.now, poll.acknowledged)),
+                false => Response::Silent,
             };
-            self.handle(Event::Looked { executor: look.executor, number: look.number, reply });
+            self.handle(Event::Polled { executor: poll.executor, number: poll.number, reply });
         }
     }
 
     fn wait(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
-            self.now = self.now + STEP;
+            self.now = self.now + TICK_INTERVAL;
             self.handle(Event::Tick);
-            self.answer_looks();
+            self.answer_polls();
         }
     }
 
-    /// Hands in a job of one task of a second, which any time suffices for.
+    /// Submits a job of one task of about a second, with a deadline far in the future.
     fn submit(&mut self) {
         self.jobs += 1;
         let job = Job {
@@ -128,38 +132,38 @@
         self.handle(Event::Submit { waiter: WaiterId(self.jobs), job });
     }
 
-    fn life(&mut self, id: EndpointId) -> &mut Life {
-        self.lives.get_mut(&id).expect("an executor of the test")
+    fn executor(&mut self, id: EndpointId) -> &mut FakeExecutor {
+        self.executors.get_mut(&id).expect("an executor of the test")
     }
 
-    /// Where the latest start went.
+    /// The executor of the latest start.
     fn latest(&self) -> EndpointId {
         self.starts.last().expect("a start").0
     }
 
-    /// The executor crashes and is back at once, in a later life.
+    /// The executor crashes and is back at once, in a later incarnation.
     fn crash(&mut self, id: EndpointId) {
         let now = self.now;
-        let life = self.life(id);
-        let born = life.born.map(|born| Birth(born.0 + 1));
-        *life = Life::new(born, now);
+        let fake = self.executor(id);
+        let incarnation = fake.incarnation.map(|incarnation| Incarnation(incarnation.0 + 1));
+        *fake = FakeExecutor::new(incarnation, now);
     }
 }
 
-impl Life {
-    fn new(born: Option<Birth>, begun: Time) -> Self {
-        Self { born, begun, running: Vec::new(), ended: Vec::new(), is_up: true }
+impl FakeExecutor {
+    fn new(incarnation: Option<Incarnation>, started_at: Time) -> Self {
+        Self { incarnation, started_at, running: Vec::new(), ended: Vec::new(), is_up: true }
     }
 
     fn clock(&self, now: Time) -> u64 {
-        now.since(self.begun).0 / 1_000
+        now.since(self.started_at).0 / 1_000
     }
 
-    fn lists(&self, now: Time, acknowledged: u64) -> Lists {
+    fn listing(&self, now: Time, acknowledged: u64) -> Listing {
         let ended = self.ended.iter().filter(|ended| ended.number > acknowledged);
-        Lists {
+        Listing {
             clock: self.clock(now),
-            born: self.born,
+            incarnation: self.incarnation,
             running: self.running.clone(),
             ended: ended.cloned().collect(),
         }
@@ -168,13 +172,18 @@
     fn end_all(&mut self) {
         for run in std::mem::take(&mut self.running) {
             let number = self.ended.len() as u64 + 1;
-            self.ended.push(Ended { number, run: Some(run), how: How::Done });
+            self.ended.push(Ended { number, run: Some(run), result: RunResult::Done });
         }
     }
 }
 
 fn named(name: &str) -> Executor {
-    Executor { id: EndpointId::of(name), name: name.into(), born: Some(Birth(1)), ..executor() }
+    Executor {
+        id: EndpointId::of(name),
+        name: name.into(),
+        incarnation: Some(Incarnation(1)),
+        ..executor()
+    }
 }
 
 fn service(guards_capacity: bool) -> Event {
@@ -183,12 +192,12 @@
 }
 
 #[test]
-fn ends_of_a_new_life_count_though_their_numbers_start_anew() {
+fn ends_of_a_new_incarnation_count_although_their_numbers_restart() {
     let mut scene = Scene::new(vec![named("i-1")]);
     for _ in 0..3 {
         scene.submit();
         scene.wait(Span::from_millis(50));
-        scene.life(EndpointId::of("i-1")).end_all();
+        scene.executor(EndpointId::of("i-1")).end_all();
         scene.wait(Span::from_millis(600));
     }
     assert_eq!(scene.answers, [Answer::Completed; 3]);
@@ -196,32 +205,32 @@
     scene.wait(Span::from_secs(1));
     scene.submit();
     scene.wait(Span::from_millis(50));
-    scene.life(EndpointId::of("i-1")).end_all();
+    scene.executor(EndpointId::of("i-1")).end_all();
     scene.wait(Span::from_millis(300));
     assert_eq!(scene.answers, [Answer::Completed; 4]);
 }
 
-/// The machine's time of day was set back while the executor was down.
+/// The wall clock of the machine was set back while the executor was down.
 #[test]
-fn a_later_life_may_have_an_earlier_birth() {
+fn a_later_incarnation_may_have_an_earlier_start_time() {
     let mut scene = Scene::new(vec![named("i-1")]);
     let id = EndpointId::of("i-1");
     scene.crash(id);
-    scene.life(id).born = Some(Birth(0));
+    scene.executor(id).incarnation = Some(Incarnation(0));
     scene.wait(Span::from_secs(1));
     scene.submit();
     scene.wait(Span::from_millis(50));
-    scene.life(id).end_all();
+    scene.executor(id).end_all();
     scene.wait(Span::from_millis(300));
     assert_eq!(scene.answers, [Answer::Completed]);
 }
 
-/// The store tells of a new life that is leaving already.
+/// The store lists a new incarnation that is stopping already.
 #[test]
-fn a_new_life_that_is_leaving_gets_no_task() {
+fn a_new_incarnation_that_is_leaving_gets_no_task() {
     let mut scene = Scene::new(vec![named("i-1")]);
     scene.crash(EndpointId::of("i-1"));
-    let reborn = Executor { born: Some(Birth(2)), leaving: true, ..named("i-1") };
+    let reborn = Executor { incarnation: Some(Incarnation(2)), leaving: true, ..named("i-1") };
     scene.handle(Event::Executors(vec![reborn]));
     scene.wait(Span::from_secs(1));
     scene.submit();
@@ -230,7 +239,7 @@
 }
 
 #[test]
-fn a_run_of_an_earlier_life_goes_on_elsewhere() {
+fn the_task_of_a_run_in_an_earlier_incarnation_runs_elsewhere() {
     let mut scene = Scene::new(vec![named("i-1"), named("i-2")]);
     scene.submit();
     let first = scene.latest();
@@ -241,38 +250,39 @@
     assert_ne!(scene.latest(), first);
 }
 
-/// The store tells of the new life before the executor does.
+/// The store lists the new incarnation before the executor responds.
 #[test]
-fn a_registration_of_a_new_life_is_looked_at_before_the_next_start() {
+fn a_newly_registered_incarnation_is_polled_before_the_next_start() {
     let mut scene = Scene::new(vec![named("i-1")]);
     scene.crash(EndpointId::of("i-1"));
-    let reborn = Executor { born: Some(Birth(2)), ..named("i-1") };
+    let reborn = Executor { incarnation: Some(Incarnation(2)), ..named("i-1") };
     scene.handle(Event::Executors(vec![reborn]));
     scene.submit();
     assert!(scene.starts.is_empty(), "its clock is not known yet");
-    scene.answer_looks();
+    scene.answer_polls();
     scene.wait(Span::from_millis(10));
-    let clock = scene.lives[&EndpointId::of("i-1")].clock(scene.now);
+    let clock = scene.executors[&EndpointId::of("i-1")].clock(scene.now);
     let lease = Options::default().lease.as_millis();
     assert!(scene.starts[0].2 <= clock + lease, "{:?} at {clock}", scene.starts);
 }
 
-/// The answer to a look that was given up arrives after one of the new life.
+/// The response to a poll that timed out arrives after one of the new incarnation.
 #[test]
-fn lists_of_an_earlier_life_change_nothing() {
+fn the_listing_of_an_earlier_incarnation_is_ignored() {
     let mut scene = Scene::new(vec![named("i-1")]);
     scene.crash(EndpointId::of("i-1"));
     scene.wait(Span::from_secs(1));
     scene.submit();
     scene.wait(Span::from_millis(20));
     let (executor, run, _) = scene.starts[0].clone();
-    scene.now = scene.now + STEP;
+    scene.now = scene.now + TICK_INTERVAL;
     scene.handle(Event::Tick);
-    let ended = vec![Ended { number: 9, run: Some(run), how: How::Stopped }];
-    let old = Lists { clock: 90_000, born: Some(Birth(1)), running: Vec::new(), ended };
-    scene.handle(Event::Looked { executor, number: 1, reply: Answered::Done(old) });
+    let ended = vec![Ended { number: 9, run: Some(run), result: RunResult::Stopped }];
+    let old =
+        Listing { clock: 90_000, incarnation: Some(Incarnation(1)), running: Vec::new(), ended };
+    scene.handle(Event::Polled { executor, number: 1, reply: Response::Done(old) });
     scene.wait(Span::from_millis(100));
-    scene.life(executor).end_all();
+    scene.executor(executor).end_all();
     scene.wait(Span::from_millis(300));
     assert_eq!(scene.answers, [Answer::Completed]);
     assert_eq!(scene.starts.len(), 1);
@@ -285,7 +295,7 @@
     for _ in 0..4 {
         scene.wait(Span::from_millis(100));
         let latest = scene.latest();
-        if !scene.lives[&latest].running.is_empty() {
+        if !scene.executors[&latest].running.is_empty() {
             scene.crash(latest);
         }
         scene.wait(Span::from_millis(200));
@@ -294,16 +304,16 @@
     assert_eq!(scene.answers, [Answer::Failed]);
 }
 
-/// The same where crashed executors are only known by their silence.
+/// The same where crashed executors are detected only because they are unresponsive.
 #[test]
-fn a_task_that_silences_its_executors_is_given_up() {
-    let plain = |name| Executor { born: None, ..named(name) };
+fn a_task_that_makes_its_executors_unresponsive_is_given_up() {
+    let plain = |name| Executor { incarnation: None, ..named(name) };
     let mut scene = Scene::new(vec![plain("i-1"), plain("i-2"), plain("i-3")]);
     scene.submit();
     for _ in 0..3 {
         scene.wait(Span::from_millis(100));
         let latest = scene.latest();
-        scene.life(latest).is_up = false;
+        scene.executor(latest).is_up = false;
         scene.wait(Span::from_secs(2));
     }
     assert_eq!(scene.starts.len(), 2);
@@ -314,11 +324,11 @@
 fn the_clock_of_an_idle_executor_is_never_old_when_a_task_starts() {
     let mut scene = Scene::new(vec![named("i-1")]);
     scene.wait(Span::from_secs(5));
-    // Nobody is told of the new life.
+    // Nothing notifies the entry of the new incarnation.
     scene.crash(EndpointId::of("i-1"));
     scene.wait(Span::from_secs(1));
     scene.submit();
-    let clock = scene.lives[&EndpointId::of("i-1")].clock(scene.now);
+    let clock = scene.executors[&EndpointId::of("i-1")].clock(scene.now);
     let lease = Options::default().lease.as_millis();
     assert!(scene.starts[0].2 <= clock + lease, "{:?} at {clock}", scene.starts);
 }
@@ -326,7 +336,7 @@
 #[test]
 fn a_crashed_idle_executor_gets_no_task_until_it_answers_again() {
     let mut scene = Scene::new(vec![named("i-1")]);
-    scene.life(EndpointId::of("i-1")).is_up = false;
+    scene.executor(EndpointId::of("i-1")).is_up = false;
     scene.wait(Span::from_secs(2));
     scene.submit();
     scene.wait(Span::from_millis(100));
@@ -336,26 +346,26 @@
     assert_eq!(scene.starts.len(), 1);
 }
 
-/// A predecessor's run occupies room that nothing tells the size of.
+/// A run of a former keeper occupies an unknown part of the capacity.
 #[test]
-fn executors_that_start_anything_get_nothing_beside_an_unknown_run() {
+fn executors_that_do_not_enforce_capacity_get_no_task_beside_an_unknown_run() {
     for guards in [true, false] {
         let mut scene = Scene::new(vec![named("i-1")]);
         scene.handle(service(guards));
         let unknown = Run { job: "00000000000000ff".into(), index: 0, number: 1 };
-        scene.life(EndpointId::of("i-1")).running.push(unknown);
+        scene.executor(EndpointId::of("i-1")).running.push(unknown);
         scene.wait(Span::from_millis(800));
         scene.submit();
         scene.wait(Span::from_millis(50));
         assert_eq!(scene.starts.len(), usize::from(guards), "guards: {guards}");
-        scene.life(EndpointId::of("i-1")).running.retain(|run| run.job != "00000000000000ff");
+        scene.executor(EndpointId::of("i-1")).running.retain(|run| run.job != "00000000000000ff");
         scene.wait(Span::from_millis(500));
         assert_eq!(scene.starts.len(), 1);
     }
 }
 
 #[test]
-fn capacity_that_shrinks_and_grows_is_kept_to() {
+fn changes_of_capacity_are_respected() {
     let mut scene = Scene::new(vec![named("i-1")]);
     let sized = |cores| {
         let capacity = Resources { slots: Slots(8), cores: Cores(cores), ..Resources::default() };
@@ -367,7 +377,7 @@
     assert_eq!(scene.starts.len(), 2);
     scene.handle(sized(cores));
     scene.wait(Span::from_millis(100));
-    scene.life(EndpointId::of("i-1")).running.truncate(1);
+    scene.executor(EndpointId::of("i-1")).running.truncate(1);
     scene.wait(Span::from_millis(100));
     assert_eq!(scene.starts.len(), 2, "the one that is left fills it");
     scene.handle(sized(4 * cores));
--- a/components/runs/tests/keepers.rs
+++ b/components/runs/tests/keepers.rs
@@ -1,4 +1,4 @@
-//! Which entries keep executors where they differ in processor.
+//! Which entries keep executors when their processors differ.
 
 mod common;
 
@@ -11,15 +11,15 @@
 };
 use std::{collections::BTreeSet, path::PathBuf};
 
-fn looked(action: &Action) -> Option<EndpointId> {
+fn polled(action: &Action) -> Option<EndpointId> {
     match action {
-        Action::Look(look) => Some(look.executor),
+        Action::Poll(poll) => Some(poll.executor),
         _ => None,
     }
 }
 
-/// Executors of the data centre that an entry begins to keep, of 40, beside others with the given
-/// processors in thousandths of a core.
+/// How many of 40 executors of its data centre an entry begins to keep, beside others with the
+/// given processors in thousandths of a core.
 fn kept(own: u32, others: &[u32]) -> usize {
     let me = home("entry-0");
     let peers = (1..=others.len()).map(|number| home(&format!("entry-{number}")));
@@ -33,7 +33,7 @@
     begins_to_keep(&mut entry)
 }
 
-/// How many of 40 executors an entry looks at first, which it is told of now.
+/// How many of 40 new executors an entry polls.
 fn begins_to_keep(entry: &mut Entry) -> usize {
     let mut out = Vec::new();
     let named = |number| {
@@ -44,7 +44,7 @@
     for step in 1..50 {
         entry.handle(Time(step * 20_000), Event::Tick, &mut out);
     }
-    let kept: BTreeSet<_> = out.iter().filter_map(looked).collect();
+    let kept: BTreeSet<_> = out.iter().filter_map(polled).collect();
     kept.len()
 }
 
@@ -54,9 +54,10 @@
     assert_eq!(kept(500, &[120, 120, 120]), 40);
 }
 
-/// The processors of all entries of a large site are remembered, also of one that the store lists no more.
+/// The processors of all entries of a large site are kept, including that of an entry that the
+/// store no longer lists.
 #[test]
-fn a_large_entry_that_is_only_connected_goes_on_keeping() {
+fn a_large_entry_that_is_connected_but_unlisted_keeps_executors() {
     let homes: Vec<Home> = (0..2_500).map(|number| home(&format!("entry-{number}"))).collect();
     let (me, large) = (homes[0], homes[1]);
     let mut entry = Entry::new(me, Options::default(), Time(0));
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn entries_that_are_alike_share_evenly() {
+fn entries_of_equal_size_get_equal_shares() {
     for cores in [0, 120, 250] {
         let kept = kept(cores, &[cores; 3]);
         assert!((4..20).contains(&kept), "{kept} of 40 at {cores}");
@@ -90,10 +91,11 @@
     (0..SEEDS).map(|seed| trial::play(pattern, seed)).collect()
 }
 
-/// Where work for short wide jobs waits in many places, it waits beside room. Replays a load of 1.3
-/// times the usual, of which a data centre of 16 entries has two that are large.
+/// With many keepers, work for short jobs with many tasks is pending at some while others have
+/// room. Replays a load of 1.3 times the usual, of which a data centre of 16 entries has two that
+/// are large.
 #[test]
-fn few_keepers_serve_more_than_many_when_load_is_at_its_worst() {
+fn few_keepers_lose_fewer_jobs_than_many_at_peak_load() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../lab/patterns");
     let pattern = Pattern::load(&folder.join("shifted.json")).expect("a pattern");
     let few = Pattern { seconds: SECONDS, ..pattern };
--- a/components/runs/tests/missing.rs
+++ b/components/runs/tests/lost_responses.rs
@@ -1,12 +1,12 @@
-//! What a keeper does while answers of an executor are missing.
+//! What a keeper does while responses of an executor are lost.
 
 mod common;
 
 use common::fixture::{executor, home, job};
 use runs::{
     Action, Entry, Event, Job, Options,
-    action::Look,
-    executor::{Answered, Ended, How, Lists, Started},
+    action::Poll,
+    executor::{Ended, Listing, Response, RunResult, StartResponse},
     job::{Answer, Run},
 };
 use site::{
@@ -14,19 +14,19 @@
     unit::{Revision, Span, Time},
 };
 
-const STEP: Span = Span::from_millis(5);
+const TICK_INTERVAL: Span = Span::from_millis(5);
 
-/// An entry and its executor, which is heard only when a test says so.
+/// An entry and its executor, whose responses are delivered only when a test does so.
 struct Scene {
     entry: Entry,
     now: Time,
     running: Vec<Run>,
     ended: Vec<Ended>,
-    looks: Vec<Look>,
+    polls: Vec<Poll>,
     stops: usize,
     answer: Option<Answer>,
-    /// Whether starts are answered.
-    answers_starts: bool,
+    /// Whether starts get a response.
+    responds_to_starts: bool,
 }
 
 impl Scene {
@@ -39,15 +39,15 @@
             now,
             running: Vec::new(),
             ended: Vec::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
             stops: 0,
             answer: None,
-            answers_starts: true,
+            responds_to_starts: true,
         };
         scene.handle(Event::Members { revision: Revision(41), members: vec![me] });
         scene.handle(Event::Executors(vec![executor()]));
         scene.wait(Span::from_millis(300));
-        scene.answer_latest_look();
+        scene.answer_latest_poll();
         scene
     }
 
@@ -64,14 +64,14 @@
         match action {
             Action::Start(start) => {
                 self.running.push(start.run.clone());
-                let reply = Started::Running { clock: self.clock() };
+                let reply = StartResponse::Running { clock: self.clock() };
                 let started = Event::Started { executor: start.executor, run: start.run, reply };
-                return self.answers_starts.then_some(started);
+                return self.responds_to_starts.then_some(started);
             }
-            Action::Look(look) => self.looks.push(look),
+            Action::Poll(poll) => self.polls.push(poll),
             Action::Stop { .. } => self.stops += 1,
             Action::Answer { answer, .. } => self.answer = Some(answer),
-            Action::Send { .. } | Action::Log(_) | Action::FollowExecutors(_) | Action::Exit => {}
+            Action::Send { .. } | Action::Log(_) | Action::WatchExecutors(_) | Action::Exit => {}
         }
         None
     }
@@ -83,79 +83,80 @@
     fn wait(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
-            self.now = self.now + STEP;
+            self.now = self.now + TICK_INTERVAL;
             self.handle(Event::Tick);
         }
     }
 
-    fn answer_latest_look(&mut self) {
-        let Some(look) = self.looks.pop() else { return };
-        let lists = Lists {
+    fn answer_latest_poll(&mut self) {
+        let Some(poll) = self.polls.pop() else { return };
+        let listing = Listing {
             clock: self.clock(),
             running: self.running.clone(),
             ended: self.ended.clone(),
-            ..Lists::default()
+            ..Listing::default()
         };
-        let reply = Answered::Done(lists);
-        self.handle(Event::Looked { executor: look.executor, number: look.number, reply });
+        let reply = Response::Done(listing);
+        self.handle(Event::Polled { executor: poll.executor, number: poll.number, reply });
     }
 
-    /// Submits a job of one task of that estimate.
+    /// Submits a job of one task with this estimate.
     fn submit(&mut self, estimate: Span) {
-        self.looks.clear();
+        self.polls.clear();
         let job = Job { estimate, ..job(self.now) };
         self.handle(Event::Submit { waiter: WaiterId(1), job });
     }
 
-    /// The executor ends what runs there.
+    /// Completes everything that runs on the executor.
     fn end(&mut self) {
         for run in std::mem::take(&mut self.running) {
             let number = self.ended.len() as u64 + 1;
-            self.ended.push(Ended { number, run: Some(run), how: How::Done });
+            self.ended.push(Ended { number, run: Some(run), result: RunResult::Done });
         }
     }
 }
 
-/// The order arrived and its answer was lost: the executor is asked, and the task goes on.
+/// The start was carried out and its response was lost: the executor is polled and the task
+/// continues.
 #[test]
-fn a_run_whose_start_was_not_answered_goes_on() {
+fn a_run_whose_start_got_no_response_continues() {
     let mut scene = Scene::new();
-    scene.answers_starts = false;
+    scene.responds_to_starts = false;
     scene.submit(Span::from_millis(900));
-    // The executor holds back its answer to the look that is on its way.
+    // The executor holds back its response to the outstanding poll.
     scene.wait(Span::from_millis(60));
-    let waits: Vec<_> = scene.looks.iter().map(|look| look.wait).collect();
+    let waits: Vec<_> = scene.polls.iter().map(|poll| poll.wait).collect();
     assert_eq!(waits.last(), Some(&Span::ZERO), "{waits:?}");
-    scene.answer_latest_look();
+    scene.answer_latest_poll();
     scene.wait(Span::from_millis(300));
     assert_eq!(scene.stops, 0);
 }
 
-/// Nothing is heard of the run at all.
+/// Neither a response nor a listing confirms the run.
 #[test]
-fn a_run_of_which_nothing_is_heard_is_stopped() {
+fn an_unconfirmed_run_is_stopped() {
     let mut scene = Scene::new();
-    scene.answers_starts = false;
+    scene.responds_to_starts = false;
     scene.submit(Span::from_millis(900));
     scene.wait(Span::from_millis(160));
     assert_eq!(scene.stops, 1);
 }
 
-/// The answer that told of the end is lost, as one before it was.
+/// The response that listed the end is lost, as one before it was.
 #[test]
-fn an_end_is_asked_for_when_its_answer_is_missing() {
+fn an_executor_is_polled_again_when_the_response_with_an_end_is_lost() {
     let mut scene = Scene::new();
     scene.submit(Span::from_millis(60));
-    // Longer than an answer may be held back: it is missing. The next one comes.
+    // Longer than a response may be held back, so it counts as lost. The next one arrives.
     scene.wait(Span::from_millis(200));
     scene.end();
-    scene.answer_latest_look();
+    scene.answer_latest_poll();
     assert_eq!(scene.answer.take(), Some(Answer::Completed));
     scene.submit(Span::from_millis(60));
     scene.end();
     scene.wait(Span::from_millis(130));
-    let waits: Vec<_> = scene.looks.iter().map(|look| look.wait).collect();
+    let waits: Vec<_> = scene.polls.iter().map(|poll| poll.wait).collect();
     assert_eq!(waits.last(), Some(&Span::ZERO), "{waits:?}");
-    scene.answer_latest_look();
+    scene.answer_latest_poll();
     assert_eq!(scene.answer, Some(Answer::Completed));
 }
--- a/components/runs/tests/moves.rs
+++ b/components/runs/tests/moves.rs
@@ -1,4 +1,4 @@
-//! What a home does when it hears that runs of its tasks have another keeper.
+//! What a home does when runs of its tasks get another keeper.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const WAITER: WaiterId = WaiterId(1);
 
-/// A home of one job, whose first keeper it lost, so that it placed the task again at another.
+/// A home of one job. In most tests it loses the first keeper and places the task again at another.
 struct Scene {
     entry: Entry,
     now: Time,
@@ -63,7 +63,7 @@
         self.handle(Event::PeerDown { peer: home(keeper) });
     }
 
-    /// Lets the longest wait for runs at a lost keeper pass.
+    /// Waits longer than a home waits for runs at a lost keeper.
     fn waits(&mut self) {
         for _ in 0..100 {
             self.now = self.now + Span::from_millis(20);
@@ -123,13 +123,13 @@
     assert!(scene.cancels("keeper-3"), "{:?}", scene.out);
     scene.ends("keeper-3", 1, End::Lost);
     scene.waits();
-    assert_eq!(scene.runs, [1, 2], "the task was placed besides its second run");
+    assert_eq!(scene.runs, [1, 2], "the task was placed again beside its second run");
     scene.ends("keeper-2", 2, End::Done);
     assert_eq!(scene.answer(), Some(Answer::Completed));
 }
 
 #[test]
-fn an_old_run_that_ends_at_the_keeper_of_the_next_one_ends_nothing_else() {
+fn the_end_of_an_old_run_does_not_end_the_next_run_at_the_same_keeper() {
     let mut scene = Scene::new();
     scene.reports("keeper-2");
     scene.loses("keeper-1");
@@ -137,13 +137,13 @@
     scene.moves("keeper-2", 1);
     scene.ends("keeper-2", 1, End::Lost);
     scene.waits();
-    assert_eq!(scene.runs, [1, 2], "the task was placed besides its second run");
+    assert_eq!(scene.runs, [1, 2], "the task was placed again beside its second run");
     scene.ends("keeper-2", 2, End::Done);
     assert_eq!(scene.answer(), Some(Answer::Completed));
 }
 
 #[test]
-fn a_run_that_moves_after_the_next_one_ended_is_stopped_and_its_number_not_used_again() {
+fn a_run_that_moves_after_the_next_one_ended_is_cancelled_and_its_number_is_not_reused() {
     let mut scene = Scene::new();
     scene.reports("keeper-2");
     scene.loses("keeper-1");
--- a/components/runs/tests/order.rs
+++ b/components/runs/tests/order.rs
@@ -1,12 +1,12 @@
-//! Which of the tasks that wait is started next.
+//! Which pending task is started next.
 
 mod common;
 
 use common::fixture::{executor, home, job};
 use runs::{
     Action, Entry, Event, Executor, Job, Options,
-    action::Look,
-    executor::{Answered, Ended, How, Lists, Started},
+    action::Poll,
+    executor::{Ended, Listing, Response, RunResult, StartResponse},
     job::Run,
 };
 use site::{
@@ -14,7 +14,7 @@
     unit::{Cores, Resources, Revision, Slots, Span, Time},
 };
 
-const STEP: Span = Span::from_millis(5);
+const TICK_INTERVAL: Span = Span::from_millis(5);
 
 /// An entry with one executor of two slots, whose tasks end when a test says so.
 struct Scene {
@@ -22,11 +22,11 @@
     now: Time,
     running: Vec<Run>,
     ended: Vec<Ended>,
-    /// Not answered yet.
-    looks: Vec<Look>,
-    /// All that was started, in order, by job and index.
+    /// Polls without a response yet.
+    polls: Vec<Poll>,
+    /// All runs that were started, in order, by job and index.
     started: Vec<(String, u16)>,
-    /// All that was stopped, in order, by job and index.
+    /// All runs that were stopped, in order, by job and index.
     stopped: Vec<(String, u16)>,
     jobs: u64,
 }
@@ -40,7 +40,7 @@
             now,
             running: Vec::new(),
             ended: Vec::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
             started: Vec::new(),
             stopped: Vec::new(),
             jobs: 0,
@@ -67,15 +67,15 @@
             Action::Start(start) => {
                 self.running.push(start.run.clone());
                 self.started.push((start.run.job.to_string(), start.run.index));
-                let reply = Started::Running { clock };
+                let reply = StartResponse::Running { clock };
                 Some(Event::Started { executor: start.executor, run: start.run, reply })
             }
             Action::Stop { run, .. } => {
                 self.stopped.push((run.job.to_string(), run.index));
                 None
             }
-            Action::Look(look) => {
-                self.looks.push(look);
+            Action::Poll(poll) => {
+                self.polls.push(poll);
                 None
             }
             _ => None,
@@ -85,27 +85,27 @@
     fn wait(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
-            self.now = self.now + STEP;
+            self.now = self.now + TICK_INTERVAL;
             self.handle(Event::Tick);
-            self.answer_looks();
+            self.answer_polls();
         }
     }
 
-    fn answer_looks(&mut self) {
-        for look in std::mem::take(&mut self.looks) {
+    fn answer_polls(&mut self) {
+        for poll in std::mem::take(&mut self.polls) {
             let clock = self.now.0 / 1_000;
-            let lists = Lists {
+            let listing = Listing {
                 clock,
                 running: self.running.clone(),
                 ended: self.ended.clone(),
-                ..Lists::default()
+                ..Listing::default()
             };
-            let reply = Answered::Done(lists);
-            self.handle(Event::Looked { executor: look.executor, number: look.number, reply });
+            let reply = Response::Done(listing);
+            self.handle(Event::Polled { executor: poll.executor, number: poll.number, reply });
         }
     }
 
-    /// Hands a job in whose answer is late after `due`.
+    /// Submits a job whose deadline is in `due`.
     fn submit(&mut self, name: &str, tasks: u16, due: Span) {
         self.jobs += 1;
         let job = Job {
@@ -122,13 +122,13 @@
         let position = self.running.iter().position(|run| run.job == name && run.index == index);
         let run = self.running.remove(position.expect("the task runs"));
         let number = self.ended.len() as u64 + 1;
-        self.ended.push(Ended { number, run: Some(run), how: How::Done });
+        self.ended.push(Ended { number, run: Some(run), result: RunResult::Done });
         self.wait(Span::from_millis(20));
     }
 }
 
 #[test]
-fn a_job_that_runs_goes_before_a_fresh_one_that_is_more_pressing() {
+fn a_job_that_has_begun_precedes_a_more_urgent_new_one() {
     let mut scene = Scene::new();
     scene.submit("first", 1, Span::from_secs(2));
     scene.submit("wide", 2, Span::from_secs(2));
@@ -140,9 +140,9 @@
     assert_eq!(scene.started, [first, wide, ("wide".to_owned(), 1)]);
 }
 
-/// A wide job of two tasks runs, of which the first ends in time if `works`, and the other takes
+/// Runs a job of two tasks, of which the first completes in time if `works`, and the second takes
 /// `span`. Returns what was stopped.
-fn outlast(works: bool, span: Span) -> Vec<(String, u16)> {
+fn stopped_when_overdue(works: bool, span: Span) -> Vec<(String, u16)> {
     let mut scene = Scene::new();
     scene.submit("wide", 2, Span::from_secs(4));
     scene.wait(Span::from_millis(380));
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn a_run_that_takes_longer_than_estimated_goes_on_where_others_end() {
+fn an_overdue_run_continues_on_an_executor_that_completes_others() {
     let four_estimates = Span::from_millis(1_600);
-    assert_eq!(outlast(true, four_estimates), []);
-    assert_eq!(outlast(false, four_estimates).len(), 2);
+    assert_eq!(stopped_when_overdue(true, four_estimates), []);
+    assert_eq!(stopped_when_overdue(false, four_estimates).len(), 2);
 }
 
 #[test]
-fn a_run_that_stands_still_is_stopped_where_others_end() {
+fn a_hung_run_is_stopped_on_an_executor_that_completes_others() {
     let eight_estimates = Span::from_millis(3_200);
-    assert_eq!(outlast(true, eight_estimates), [("wide".to_owned(), 1)]);
+    assert_eq!(stopped_when_overdue(true, eight_estimates), [("wide".to_owned(), 1)]);
 }
--- a/components/runs/tests/overload.rs
+++ b/components/runs/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Loads that last above what the executors can do, and what callers get of them.
+//! Loads that stay above the capacity of the executors.
 
 use lab::{
     pattern::Pattern,
@@ -10,16 +10,17 @@
 /// Seconds of traffic, of which the first fills the executors.
 const SECONDS: u64 = 6;
 
-/// Seconds after which there are enough of the largest jobs to tell how they fare.
+/// Seconds after which there are enough of the largest jobs to compare their results.
 const LONG_SECONDS: u64 = 20;
 
 const SEEDS: u64 = 2;
 
-/// Seeds over which days below the executors' limit, of which few jobs are lost, can be compared.
+/// Number of seeds that makes loads below the executors' capacity comparable, since few jobs are
+/// lost under them.
 const MANY_SEEDS: u64 = 8;
 
-/// Milliseconds of a caller's two ways.
-const WAYS_MS: f64 = 6.0;
+/// Round trip time between caller and entry in milliseconds.
+const ROUND_TRIP_MS: f64 = 6.0;
 
 fn pattern(name: &str) -> Pattern {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../lab/patterns");
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn what_can_t_be_in_time_is_turned_away_at_once() {
+fn jobs_that_can_not_be_in_time_are_rejected_at_once() {
     let on = pattern("overload");
     let mut off = on.clone();
     off.options.admission = false;
@@ -53,7 +54,7 @@
         late(&off)
     );
     let refusal = trial::mean(&on, |tally| tally.refusal_ms.1);
-    assert!(refusal < WAYS_MS + 2.0, "95 of 100 refusals within {refusal} ms");
+    assert!(refusal < ROUND_TRIP_MS + 2.0, "95 of 100 refusals within {refusal} ms");
 }
 
 #[test]
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn nobody_loses_by_it_below_what_the_executors_can_do() {
+fn admission_costs_nothing_below_the_executors_capacity() {
     let on = Pattern { seconds: LONG_SECONDS, ..pattern("busy") };
     let mut off = on.clone();
     off.options.admission = false;
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn nobody_is_turned_away_while_there_is_room_for_all_of_a_job() {
+fn jobs_are_admitted_while_there_is_room_for_all_their_tasks() {
     let refused_with_room = |tallies: &[Tally]| {
         let kinds = tallies.iter().flat_map(|tally| tally.kinds.values());
         kinds.map(|kind| kind.had_room).sum::<usize>()
@@ -97,6 +98,6 @@
     let mut off = on.clone();
     off.options.fill = false;
     let (on, off) = (refused_with_room(&play(&on)), refused_with_room(&play(&off)));
-    // What is left is room that became free less than a report ago.
+    // The rest is room that became free less than a report interval ago.
     assert!(on * 2 < off, "{on} with, {off} without");
 }
--- a/components/runs/tests/reports.rs
+++ b/components/runs/tests/reports.rs
@@ -1,4 +1,4 @@
-//! How often entries tell each other of their room.
+//! How often entries report their room to each other.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 const SECONDS: u64 = 2;
 
-/// Reports that an entry sends in a second on average, each to one peer.
+/// Reports that an entry sends per second on average, each to one peer.
 fn reports(entries: usize) -> u64 {
     let plan = Plan {
         entries,
@@ -30,22 +30,22 @@
     world.reports / entries as u64 / SECONDS
 }
 
-/// Eight peers hear of each change, all 34 every 150 ms. If all heard of each change, an entry sent
-/// 592.
+/// Eight peers get each change, all 34 a report every 150 ms. If all got each change, an entry
+/// would send 592 a second.
 #[test]
-fn a_large_site_does_not_multiply_the_reports_of_an_entry() {
+fn reports_per_entry_are_bounded_in_a_large_site() {
     let reports = reports(35);
     assert!(reports <= 400, "{reports} reports a second");
 }
 
-/// If all 104 peers heard of an entry every 150 ms, it sent 757.
+/// If all 104 peers got a report every 150 ms, an entry would send 757 a second.
 #[test]
-fn three_times_the_entries_do_not_multiply_the_reports_of_each() {
+fn reports_per_entry_do_not_grow_with_three_times_the_entries() {
     let reports = reports(105);
     assert!(reports <= 400, "{reports} reports a second");
 }
 
-/// Reports of each entry in a second where executors are hardly used.
+/// Reports that an entry sends per second while executors are hardly used.
 fn reports_at_rest(ample_percent: u64) -> u64 {
     let options = Options { ample_percent, ..Options::default() };
     let plan = Plan {
@@ -62,11 +62,11 @@
     world.reports / 35 / SECONDS
 }
 
-/// A job finds room without knowing of each change: changes go with the reports that are due anyway,
-/// 53 a second to eight near peers and 48 to the others, and half as many for jobs that wait. If room
-/// never counts as ample, an entry sends 224.
+/// A job finds room without knowing of each change: changes go with the reports that are due
+/// anyway, 53 a second to eight near peers and 48 to the others, and half as many for pending jobs.
+/// If room never counts as ample, an entry sends 224 a second.
 #[test]
-fn changes_of_ample_room_are_told_rarely() {
+fn changes_of_ample_room_are_reported_rarely() {
     let few = reports_at_rest(50);
     assert!(few <= (53 + 48) * 3 / 2, "{few} reports a second");
 }
@@ -80,9 +80,9 @@
         .collect()
 }
 
-/// Room that comes is told to those whose jobs wait, so that they must be known.
+/// New room is reported at once to peers with pending tasks, so they have to be known.
 #[test]
-fn peers_hear_at_once_that_a_job_waits() {
+fn peers_get_a_report_at_once_when_a_job_becomes_pending() {
     let (me, peer) = (home("entry-1"), home("entry-2"));
     let begun = Time(1_000_000);
     let mut entry = Entry::new(me, Options::default(), begun);
@@ -92,12 +92,12 @@
     out.clear();
     let now = begun + Span::from_millis(25);
     entry.handle(now, Event::Submit { waiter: WaiterId(1), job: job(now) }, &mut out);
-    let told = reports_to(&out, peer);
-    assert!(matches!(told[..], [report] if report.load.waiting > 0), "{told:?}");
+    let reported = reports_to(&out, peer);
+    assert!(matches!(reported[..], [report] if report.load.pending > 0), "{reported:?}");
 }
 
-/// Longest time without a report to `keeper`, which has a task of the entry, while another job begins
-/// to wait after `wait`.
+/// Longest time without a report to `keeper`, which has a task of the entry, while another job
+/// becomes pending after `wait`.
 fn longest_silence(peers: &[Home], keeper: Home, wait: Span) -> Span {
     let begun = Time(1_000_000);
     let mut entry = Entry::new(home("entry-1"), Options::default(), begun);
@@ -113,7 +113,7 @@
         &mut out,
     );
     entry.handle(begun, Event::Submit { waiter: WaiterId(1), job: job(begun) }, &mut out);
-    let (mut told, mut longest) = (begun, Span::ZERO);
+    let (mut reported, mut longest) = (begun, Span::ZERO);
     for step in 1..=200 {
         out.clear();
         let now = begun + Span::from_millis(5 * step);
@@ -122,16 +122,17 @@
             entry.handle(now, Event::Submit { waiter: WaiterId(2), job: job(now) }, &mut out);
         }
         if !reports_to(&out, keeper).is_empty() {
-            longest = longest.max(now.since(told));
-            told = now;
+            longest = longest.max(now.since(reported));
+            reported = now;
         }
     }
-    longest.max((begun + Span::from_secs(1)).since(told))
+    longest.max((begun + Span::from_secs(1)).since(reported))
 }
 
-/// A keeper gives the tasks of a home up that it has not heard of for 500 ms, three reports.
+/// A keeper gives up the tasks of a home that it got no report from for 500 ms, three report
+/// intervals.
 #[test]
-fn keepers_of_tasks_hear_of_their_home_in_time() {
+fn keepers_of_tasks_get_reports_of_the_home_in_time() {
     let peers: Vec<_> = (0..12).map(|number| home(&format!("peer-{number}"))).collect();
     for keeper in &peers {
         for wait in [100, 140, 290] {
@@ -141,9 +142,10 @@
     }
 }
 
-/// In a large site most entries keep nothing, and what they report at rest costs all keepers time.
+/// In a large site most entries keep no executor, and their reports cost all keepers processor
+/// time.
 #[test]
-fn entries_without_executors_or_waiting_jobs_report_rarely() {
+fn entries_without_executors_or_pending_jobs_report_rarely() {
     let begun = Time(1_000_000);
     let mut entry = Entry::new(home("entry-1"), Options::default(), begun);
     let mut out = Vec::new();
--- a/components/runs/tests/spread.rs
+++ b/components/runs/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Which keeper a job goes to where several have room.
+//! Which keeper a job is sent to when several have room.
 
 mod common;
 
@@ -13,8 +13,8 @@
 };
 use std::collections::BTreeSet;
 
-/// Where an entry without executors sends its first job; six keepers have room, one of them a little
-/// more.
+/// The keeper that an entry without executors sends its first job to. Six keepers have room, each a
+/// little more than the one before.
 fn choice(me: Home, options: Options) -> Option<Home> {
     let now = Time(1_000_000);
     let mut entry = Entry::new(me, options, now);
@@ -37,9 +37,9 @@
     })
 }
 
-/// Until the next report all would send their jobs to the same keeper.
+/// Otherwise all entries would send their jobs to the same keeper until its next report.
 #[test]
-fn entries_that_know_the_same_do_not_choose_the_same_keeper() {
+fn entries_with_equal_reports_choose_different_keepers() {
     let choices = |options| -> BTreeSet<Home> {
         let entries = (0..12).map(|number| home(&format!("entry-{number}")));
         entries.filter_map(|me| choice(me, options)).collect()
--- a/components/runs/tests/summary.rs
+++ b/components/runs/tests/summary.rs
@@ -1,4 +1,5 @@
-//! What an entry of a large site believes of work that waits at entries that it is not connected to.
+//! What an entry of a large site knows of the work that is pending at entries that it is not
+//! connected to.
 
 mod common;
 
@@ -14,16 +15,16 @@
     unit::{Span, Time},
 };
 
-/// More cores than the executors give back in a minute.
-const EXCESS: u64 = 6_000_000;
+/// Pending work in thousandths of a core: what the executors free in a minute.
+const MINUTE_OF_WORK: u64 = 6_000_000;
 
-const CALM: Load = Load { waiting: 0, free: 0, turnover: 100_000, unmeasured: 0 };
+const CALM: Load = Load { pending: 0, free: 0, throughput: 100_000, unmeasured: 0 };
 
 fn far(name: &str) -> Home {
     Home { data_centre: DataCentreId(2), ..home(name) }
 }
 
-/// Whether an entry that heard these reports takes a job in.
+/// Whether an entry that got these reports admits a job.
 fn accepts(reports: &[(Home, Report)]) -> bool {
     let now = Time(1_000_000);
     let mut entry = Entry::new(home("entry-0"), Options::default(), now);
@@ -35,50 +36,50 @@
     }
     out.clear();
     entry.handle(now, Event::Submit { waiter: WaiterId(1), job: job(now) }, &mut out);
-    let refuses =
-        |action: &Action| matches!(action, Action::Answer { answer: Answer::Refused { .. }, .. });
-    !out.iter().any(refuses)
+    let is_rejection =
+        |action: &Action| matches!(action, Action::Answer { answer: Answer::Rejected { .. }, .. });
+    !out.iter().any(is_rejection)
 }
 
-fn report(load: Load, entries: u32, near: Load) -> Report {
-    Report { load, near: Summary { entries, load: near }, ..Report::default() }
+fn report(load: Load, entries: u32, sum: Load) -> Report {
+    Report { load, data_centre_load: Summary { entries, load: sum }, ..Report::default() }
 }
 
 #[test]
-fn work_that_waits_at_entries_behind_a_keeper_counts() {
-    let waiting = Load { waiting: EXCESS, ..CALM };
+fn pending_work_of_entries_summed_by_a_keeper_counts() {
+    let pending = Load { pending: MINUTE_OF_WORK, ..CALM };
     assert!(accepts(&[(far("keeper-1"), report(CALM, 1, CALM))]));
-    assert!(!accepts(&[(far("keeper-1"), report(CALM, 40, waiting))]));
-    assert!(!accepts(&[(home("keeper-1"), report(CALM, 40, waiting))]));
+    assert!(!accepts(&[(far("keeper-1"), report(CALM, 40, pending))]));
+    assert!(!accepts(&[(home("keeper-1"), report(CALM, 40, pending))]));
 }
 
-/// Each data centre counts once, whoever has added it up.
+/// Each data centre counts once, however many entries report its sum.
 #[test]
-fn sums_of_several_keepers_do_not_add_up() {
-    let load = Load { waiting: 12_000, turnover: 100_000, ..Load::default() };
+fn sums_of_keepers_in_one_data_centre_are_not_added() {
+    let load = Load { pending: 12_000, throughput: 100_000, ..Load::default() };
     let keepers = (0..40).map(|n| (far(&format!("keeper-{n}")), report(load, 100, load)));
     assert!(accepts(&keepers.collect::<Vec<_>>()));
 }
 
-/// Whoever is connected to more entries than a keeper has heard of believes itself.
+/// An entry that is connected to more entries than a keeper's sum covers uses its own sum.
 #[test]
-fn a_keeper_that_hears_of_few_is_not_believed() {
-    let waiting = Load { waiting: EXCESS, ..CALM };
-    let mut heard: Vec<_> =
+fn a_sum_over_fewer_entries_is_not_used() {
+    let pending = Load { pending: MINUTE_OF_WORK, ..CALM };
+    let mut reports: Vec<_> =
         (0..5).map(|n| (far(&format!("keeper-{n}")), report(CALM, 5, CALM))).collect();
-    heard[0].1.near = Summary { entries: 2, load: waiting };
-    assert!(accepts(&heard));
+    reports[0].1.data_centre_load = Summary { entries: 2, load: pending };
+    assert!(accepts(&reports));
 }
 
 #[test]
-fn keepers_add_up_their_data_centre() {
+fn keepers_sum_the_loads_of_their_data_centre() {
     let now = Time(1_000_000);
     let mut entry = Entry::new(home("entry-0"), Options::default(), now);
     let mut out = Vec::new();
     entry.handle(now, Event::Executors(vec![executor()]), &mut out);
-    for (peer, waiting) in [(home("small-1"), 3), (home("small-2"), 5), (far("keeper-1"), 100)] {
+    for (peer, pending) in [(home("small-1"), 3), (home("small-2"), 5), (far("keeper-1"), 100)] {
         entry.handle(now, Event::PeerUp { peer }, &mut out);
-        let load = Load { waiting, ..Load::default() };
+        let load = Load { pending, ..Load::default() };
         let message = Message::Report(Report { load, ..Report::default() });
         entry.handle(now, Event::Message { from: peer, message }, &mut out);
     }
@@ -86,10 +87,10 @@
     for step in 1..=100 {
         entry.handle(now + Span::from_millis(20 * step), Event::Tick, &mut out);
     }
-    let near = out.iter().find_map(|action| match action {
-        Action::Send { message: Message::Report(report), .. } => Some(report.near),
+    let sum = out.iter().find_map(|action| match action {
+        Action::Send { message: Message::Report(report), .. } => Some(report.data_centre_load),
         _ => None,
     });
-    let near = near.expect("a report");
-    assert_eq!((near.entries, near.load.waiting), (3, 8));
+    let sum = sum.expect("a report");
+    assert_eq!((sum.entries, sum.load.pending), (3, 8));
 }
--- a/components/standin/src/leased/life.rs
+++ b/components/standin/src/leased/life.rs
@@ -2,8 +2,8 @@
 //! give orders.
 
 use runs::{
-    action::{Look, Start},
-    executor::{Answered, Birth, Ended, How, Lists, Refusal, Started},
+    action::{Poll, Start},
+    executor::{Ended, Incarnation, Listing, Refusal, Response, RunResult, StartResponse},
     job::Run,
 };
 use site::unit::{Resources, Time};
@@ -21,7 +21,7 @@
     /// When it ends by itself.
     pub ends: Time,
     /// How it ends then.
-    pub how: How,
+    pub how: RunResult,
     /// What it uses.
     pub needs: Resources,
 }
@@ -52,7 +52,7 @@
     /// It takes orders, but neither carries them out nor answers.
     pub dark_until: Time,
     /// Tells its lives apart, where they share a name.
-    pub born: Option<Birth>,
+    pub born: Option<Incarnation>,
     /// Whether it is up.
     pub up: bool,
     /// Tasks take this many times as long.
@@ -96,7 +96,7 @@
             .iter()
             .filter(|(_, running)| running.ends <= now || lapsed)
             .map(|(run, running)| {
-                (run.clone(), if running.ends <= now { running.how } else { How::Lapsed })
+                (run.clone(), if running.ends <= now { running.how } else { RunResult::Lapsed })
             })
             .collect();
         for (run, how) in due {
@@ -104,13 +104,13 @@
         }
     }
 
-    fn end(&mut self, run: Run, how: How) {
+    fn end(&mut self, run: Run, result: RunResult) {
         self.running.remove(&run);
         self.note_past(&run);
-        if how == How::Done {
+        if result == RunResult::Done {
             self.done.insert((run.job.to_string(), run.index));
         }
-        self.ended.push(Ended { number: self.next, run: Some(run), how });
+        self.ended.push(Ended { number: self.next, run: Some(run), result });
         self.next += 1;
     }
 
@@ -134,16 +134,22 @@
     }
 
     /// Carries a start out. `length` is how long the task takes.
-    pub fn start(&mut self, now: Time, start: &Start, needs: Resources, length: u64) -> Started {
+    pub fn start(
+        &mut self,
+        now: Time,
+        start: &Start,
+        needs: Resources,
+        length: u64,
+    ) -> StartResponse {
         self.settle(now);
         let clock = self.clock(now);
-        let refused = |why| Started::Refused { clock: Some(clock), why };
+        let refused = |why| StartResponse::Refused { clock: Some(clock), why };
         if start.token < self.fence {
             return refused(Refusal::Fenced);
         }
         self.fence = start.token;
         if self.running.contains_key(&start.run) {
-            return Started::Running { clock };
+            return StartResponse::Running { clock };
         }
         if start.deadline < clock {
             return refused(Refusal::Late);
@@ -156,42 +162,42 @@
         if !self.free().fits(&needs) {
             return refused(Refusal::Room);
         }
-        let how = if self.fails { How::Failed } else { How::Done };
+        let how = if self.fails { RunResult::Failed } else { RunResult::Done };
         let length = if self.fails { 5_000 } else { length * self.factor };
         let running = Running { ends: Time(now.0 + length), how, needs };
         self.running.insert(start.run.clone(), running);
-        Started::Running { clock }
+        StartResponse::Running { clock }
     }
 
     /// Carries a stop out.
-    pub fn stop(&mut self, now: Time, run: &Run, token: u64) -> Answered<()> {
+    pub fn stop(&mut self, now: Time, run: &Run, token: u64) -> Response<()> {
         self.settle(now);
         if token < self.fence {
-            return Answered::Fenced;
+            return Response::Fenced;
         }
         self.fence = token;
         self.note_past(run);
         if let Some(running) = self.running.get_mut(run) {
             running.ends = running.ends.min(Time(now.0 + STOP_US));
-            running.how = How::Stopped;
+            running.how = RunResult::Stopped;
         }
-        Answered::Done(())
+        Response::Done(())
     }
 
     /// Gives the lists out, and prolongs the lease if asked to.
-    pub fn look(&mut self, now: Time, look: &Look) -> Answered<Lists> {
+    pub fn look(&mut self, now: Time, look: &Poll) -> Response<Listing> {
         self.settle(now);
         if look.token < self.fence {
-            return Answered::Fenced;
+            return Response::Fenced;
         }
         self.fence = look.token;
         if let Some(deadline) = look.deadline {
             self.extend(now, deadline);
         }
         self.ended.retain(|ended| ended.number > look.acknowledged);
-        Answered::Done(Lists {
+        Response::Done(Listing {
             clock: self.clock(now),
-            born: self.born,
+            incarnation: self.born,
             running: self.running.keys().cloned().collect(),
             ended: self.ended.clone(),
         })
--- a/components/standin/src/leased/serve.rs
+++ b/components/standin/src/leased/serve.rs
@@ -5,8 +5,8 @@
 use event_listener::Event;
 use parking_lot::Mutex;
 use runs::{
-    action::{Look, Start},
-    executor::{Answered, Ended, How, Lists, Refusal, Started},
+    action::{Poll, Start},
+    executor::{Ended, Listing, Refusal, Response, RunResult, StartResponse},
     job::Run,
 };
 use serde::{Deserialize, Serialize};
@@ -264,22 +264,22 @@
             if let Some(running) = life.running.get_mut(&run)
                 && spec.fail
             {
-                running.how = How::Failed;
+                running.how = RunResult::Failed;
             }
             (reply, !known)
         };
         self.changed.notify(usize::MAX);
         match reply {
-            Started::Running { clock } => {
+            StartResponse::Running { clock } => {
                 if is_new {
                     self.twice.check(now, &self.name, &self.life, &run);
                 }
                 (200, json!({ "clock_ms": clock }))
             }
-            Started::Refused { clock, why } => {
+            StartResponse::Refused { clock, why } => {
                 (409, json!({ "clock_ms": clock, "reason": reason(why) }))
             }
-            Started::Unsent | Started::Unknown | Started::Gone => malformed(),
+            StartResponse::Unsent | StartResponse::Unknown | StartResponse::Gone => malformed(),
         }
     }
 
@@ -290,14 +290,14 @@
         let answer = life.stop(now, &run, body.fencing_token);
         self.changed.notify(usize::MAX);
         match answer {
-            Answered::Done(()) => (200, json!({ "clock_ms": life.clock(now) })),
+            Response::Done(()) => (200, json!({ "clock_ms": life.clock(now) })),
             _ => (409, json!({ "clock_ms": life.clock(now), "reason": "fence" })),
         }
     }
 
     async fn hold(&self, body: &HoldBody) -> (u16, Value) {
         let until = Instant::now() + Duration::from_millis(body.wait_ms.min(2_000));
-        let look = Look {
+        let look = Poll {
             executor: EndpointId::of(&self.name),
             number: 0,
             token: body.fencing_token,
@@ -308,17 +308,17 @@
         let first = self.life.lock().look(self.now(), &look);
         let mut answer = first;
         while Instant::now() < until
-            && matches!(&answer, Answered::Done(lists) if lists.ended.is_empty())
+            && matches!(&answer, Response::Done(lists) if lists.ended.is_empty())
         {
             let changed = self.changed.listen();
             let poll = async {
                 Timer::after(POLL).await;
             };
             changed.or(poll).await;
-            answer = self.life.lock().look(self.now(), &Look { deadline: None, ..look });
+            answer = self.life.lock().look(self.now(), &Poll { deadline: None, ..look });
         }
         match answer {
-            Answered::Done(lists) => (200, render(&lists)),
+            Response::Done(lists) => (200, render(&lists)),
             _ => (409, json!({ "clock_ms": 0, "reason": "fence" })),
         }
     }
@@ -376,7 +376,7 @@
     }
 }
 
-fn render(lists: &Lists) -> Value {
+fn render(lists: &Listing) -> Value {
     let running: Vec<_> =
         lists.running.iter().map(|run| json!([run.task_name(), run.number, "", 100, 0])).collect();
     let ended: Vec<_> = lists.ended.iter().filter_map(row).collect();
@@ -385,11 +385,11 @@
 
 fn row(ended: &Ended) -> Option<Value> {
     let run = ended.run.as_ref()?;
-    let how = match ended.how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "lapsed",
+    let how = match ended.result {
+        RunResult::Done => "done",
+        RunResult::Failed => "failed",
+        RunResult::Stopped => "stopped",
+        RunResult::Lapsed => "lapsed",
     };
     Some(json!([ended.number, run.task_name(), run.number, how, ""]))
 }
--- a/lab/src/world/callers.rs
+++ b/lab/src/world/callers.rs
@@ -120,7 +120,7 @@
             Answer::Completed => "completed",
             Answer::Failed => "failed",
             Answer::GivenUp => "given-up",
-            Answer::Refused { .. } => "refused",
+            Answer::Rejected { .. } => "refused",
         };
         *self.answers.entry(name).or_default() += 1;
         if let Some(number) = caller.arrival {
@@ -133,7 +133,7 @@
                     assert!(self.done.contains(&key), "{key:?} is complete and has not run");
                 }
             }
-            Answer::Refused { .. } => {
+            Answer::Rejected { .. } => {
                 // A caller whose first try broke knows that it may have run.
                 if self.broken.contains(job.name.as_str()) {
                     return;
@@ -155,7 +155,7 @@
             Answer::Completed => Outcome::completed(after, arrival.objective),
             Answer::Failed => Outcome::Failed,
             Answer::GivenUp => Outcome::GivenUp,
-            Answer::Refused { .. } => Outcome::Refused,
+            Answer::Rejected { .. } => Outcome::Refused,
         };
         let wanted = u32::from(arrival.job.tasks);
         let needs = arrival.job.needs;
--- a/lab/src/world/layout.rs
+++ b/lab/src/world/layout.rs
@@ -48,7 +48,7 @@
     Executor {
         id: EndpointId::of(&name),
         name: name.into(),
-        born: None,
+        incarnation: None,
         address: ([127, 0, 0, 1], index as u16 + 1).into(),
         data_centre: DataCentreId(plan.zone_of_executor(index) as u64),
         service: service(),
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 use runs::{
     Entry, Event, Executor, Job, Message,
-    action::{Look, Start},
+    action::{Poll, Start},
     entry::TICK,
     job::Run,
 };
@@ -118,7 +118,7 @@
         token: u64,
     },
     /// With the moment until which it waits.
-    Look(Look, Time, Progress),
+    Look(Poll, Time, Progress),
 }
 
 /// A site in virtual time.
--- a/lab/src/world/nodes.rs
+++ b/lab/src/world/nodes.rs
@@ -116,7 +116,7 @@
                 let order = Order::Stop { executor, run, token };
                 self.after(WAY_US, Step::Order(node, incarnation, order));
             }
-            Action::Look(look) => {
+            Action::Poll(look) => {
                 let until = Time(self.now.0 + WAY_US + look.wait.0);
                 let order = Order::Look(look, until, Progress::Coming);
                 self.after(WAY_US, Step::Order(node, incarnation, order));
@@ -134,7 +134,7 @@
                 println!("{} {node} {decision:?}", self.now);
             }
             // Here all entries are told of the executors; reading them costs nothing.
-            Action::Log(_) | Action::FollowExecutors(_) => {}
+            Action::Log(_) | Action::WatchExecutors(_) => {}
             Action::Exit => self.nodes[node].exited = true,
         }
     }
--- a/lab/src/world/orders.rs
+++ b/lab/src/world/orders.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use runs::{
     Event,
-    executor::{Answered, Started},
+    executor::{Response, StartResponse},
     job::Run,
 };
 use site::{id::Incarnation, unit::Resources};
@@ -67,7 +67,7 @@
                 let (length, needs) = self.load(&start.run);
                 let before = self.slots[slot].fake.running.contains_key(&start.run);
                 let reply = self.slots[slot].fake.start(now, start, needs, length);
-                if matches!(reply, Started::Running { .. }) && !before {
+                if matches!(reply, StartResponse::Running { .. }) && !before {
                     self.begun_work += length * u64::from(needs.cores.0);
                     self.check_start(slot, &start.run);
                 }
@@ -79,16 +79,16 @@
             }
             Order::Look(look, ..) => {
                 let reply = self.slots[slot].fake.look(now, look);
-                if let Answered::Done(lists) = &reply {
+                if let Response::Done(lists) = &reply {
                     for ended in &lists.ended {
                         if let Some(run) = &ended.run
-                            && ended.how == runs::executor::How::Done
+                            && ended.result == runs::executor::RunResult::Done
                         {
                             self.done.insert((run.job.to_string(), run.index));
                         }
                     }
                 }
-                Event::Looked { executor: look.executor, number: look.number, reply }
+                Event::Polled { executor: look.executor, number: look.number, reply }
             }
         }
     }
@@ -128,13 +128,13 @@
         Order::Start(start) => Event::Started {
             executor: start.executor,
             run: start.run.clone(),
-            reply: Started::Gone,
+            reply: StartResponse::Gone,
         },
         Order::Stop { executor, run, .. } => {
-            Event::Stopped { executor: *executor, run: run.clone(), reply: Answered::Gone }
+            Event::Stopped { executor: *executor, run: run.clone(), reply: Response::Gone }
         }
         Order::Look(look, ..) => {
-            Event::Looked { executor: look.executor, number: look.number, reply: Answered::Gone }
+            Event::Polled { executor: look.executor, number: look.number, reply: Response::Gone }
         }
     }
 }
@@ -144,13 +144,13 @@
         Order::Start(start) => Event::Started {
             executor: start.executor,
             run: start.run.clone(),
-            reply: Started::Unknown,
+            reply: StartResponse::Unknown,
         },
         Order::Stop { executor, run, .. } => {
-            Event::Stopped { executor: *executor, run: run.clone(), reply: Answered::Silent }
+            Event::Stopped { executor: *executor, run: run.clone(), reply: Response::Silent }
         }
         Order::Look(look, ..) => {
-            Event::Looked { executor: look.executor, number: look.number, reply: Answered::Silent }
+            Event::Polled { executor: look.executor, number: look.number, reply: Response::Silent }
         }
     }
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -5,7 +5,7 @@
     exit::{Error, Exit},
 };
 use console::Console;
-use explain::{Cause, Story};
+use explain::{Cause, History};
 use std::{
     fs::File,
     io::{self, Read},
@@ -27,9 +27,9 @@
         // A file may end within a line.
         log.push(b'\n');
     }
-    let story = Story::find(&args.job, &String::from_utf8_lossy(&log));
-    story.lines().iter().for_each(|line| console.print(&line.to_string()));
-    let cause = story.cause();
+    let history = History::find(&args.job, &String::from_utf8_lossy(&log));
+    history.lines().iter().for_each(|line| console.print(&line.to_string()));
+    let cause = history.cause();
     console.print(&format!("cause: {cause}"));
     Ok(if cause == Cause::Unknown { Exit::Failed } else { Exit::Done })
 }
