--- a/components/entry/src/network.rs
+++ b/components/entry/src/network.rs
@@ -169,7 +169,8 @@
             data_centres.entry(home.data_centre).or_default().push(home);
         }
         let ours = data_centres.remove(&self.me.data_centre).unwrap_or_default();
-        let across = data_centres.values().flat_map(|theirs| rendezvous::heartbeat_pairs(&ours, theirs));
+        let across =
+            data_centres.values().flat_map(|theirs| rendezvous::heartbeat_pairs(&ours, theirs));
         let across = across.filter(|(own, _)| *own == self.me).map(|(_, peer)| peer);
         ours.iter().copied().chain(across).map(|home| home.entry).collect()
     }
--- a/components/runs/src/keeper/room.rs
+++ b/components/runs/src/keeper/room.rs
@@ -48,7 +48,8 @@
     /// The work queued here, and how fast the executors in use get through it.
     pub(crate) fn load(&self, now: Time) -> Load {
         let size = u64::from(self.usual_needs.cores.0);
-        let fitting = |resources: Resources| u64::from(resources.max_tasks(&self.usual_needs)) * size;
+        let fitting =
+            |resources: Resources| u64::from(resources.max_tasks(&self.usual_needs)) * size;
         let usable = self.leases.values().filter(|lease| self.is_usable_soon(now, lease));
         let (free, capacity) = usable.fold((0, 0), |(free, capacity), lease| {
             (free + fitting(lease.free()), capacity + fitting(lease.executor.capacity))
