--- a/components/runs/src/keeper/mod.rs
+++ b/components/runs/src/keeper/mod.rs
@@ -30,11 +30,11 @@
     unit::{Resources, Span, Time},
 };
 
-/// Divisor of the moving average of task sizes: the weight of one task is 1/16.
+/// Divisor of the moving average of task sizes: the inverse of the weight of one task.
 const NEEDS_WEIGHT: u32 = 16;
 
-/// Divisor of the moving average of run times: the weight of one run is 1/64. Averages over about a
-/// second of a keeper with 18 slots.
+/// Divisor of the moving average of run times: the inverse of the weight of one run. Averages
+/// over about a second of a keeper with 18 slots.
 const RUN_TIME_WEIGHT: u64 = 64;
 
 /// The executors that this entry keeps, and the tasks queued for them.
--- a/components/runs/src/keeper/start.rs
+++ b/components/runs/src/keeper/start.rs
@@ -21,7 +21,7 @@
 /// Added to the run number when the executor knows a higher one.
 const OLD_RUN_STEP: u32 = 50;
 
-/// Divisor of the moving average of start times: the weight of one start is 1/8.
+/// Divisor of the moving average of start times: the inverse of the weight of one start.
 const START_TIME_WEIGHT: u64 = 8;
 
 /// Resolution of slowness in steps per factor of 1, so that small differences leave the choice to
--- a/components/runs/tests/cordon.rs
+++ b/components/runs/tests/cordon.rs
@@ -174,7 +174,7 @@
     site.submit_wide(3, 60_000);
     site.feed(Event::Cordoned(cordon(50, &[1, 2])));
     assert!(site.is_rejected(), "{:?}", site.answers);
-    assert_eq!(site.started.len(), 2, "what runs goes on");
+    assert_eq!(site.started.len(), 2, "running tasks continue");
 }
 
 #[test]
--- a/components/runs/tests/incarnations.rs
+++ b/components/runs/tests/incarnations.rs
@@ -100,7 +100,7 @@
     }
 
     /// Responds to the outstanding polls.
-    fn answer_polls(&mut self) {
+    fn respond_to_polls(&mut self) {
         for poll in std::mem::take(&mut self.polls) {
             let fake = &self.executors[&poll.executor];
             let reply = match fake.is_up {
@@ -116,7 +116,7 @@
         while self.now < until {
             self.now = self.now + TICK_INTERVAL;
             self.handle(Event::Tick);
-            self.answer_polls();
+            self.respond_to_polls();
         }
     }
 
@@ -230,8 +230,8 @@
 fn a_new_incarnation_that_is_leaving_gets_no_task() {
     let mut scene = Scene::new(vec![named("i-1")]);
     scene.crash(EndpointId::of("i-1"));
-    let reborn = Executor { incarnation: Some(Incarnation(2)), leaving: true, ..named("i-1") };
-    scene.handle(Event::Executors(vec![reborn]));
+    let restarted = Executor { incarnation: Some(Incarnation(2)), leaving: true, ..named("i-1") };
+    scene.handle(Event::Executors(vec![restarted]));
     scene.wait(Span::from_secs(1));
     scene.submit();
     scene.wait(Span::from_millis(300));
@@ -255,11 +255,11 @@
 fn a_newly_registered_incarnation_is_polled_before_the_next_start() {
     let mut scene = Scene::new(vec![named("i-1")]);
     scene.crash(EndpointId::of("i-1"));
-    let reborn = Executor { incarnation: Some(Incarnation(2)), ..named("i-1") };
-    scene.handle(Event::Executors(vec![reborn]));
+    let restarted = Executor { incarnation: Some(Incarnation(2)), ..named("i-1") };
+    scene.handle(Event::Executors(vec![restarted]));
     scene.submit();
     assert!(scene.starts.is_empty(), "its clock is not known yet");
-    scene.answer_polls();
+    scene.respond_to_polls();
     scene.wait(Span::from_millis(10));
     let clock = scene.executors[&EndpointId::of("i-1")].clock(scene.now);
     let lease = Options::default().lease.as_millis();
--- a/components/runs/tests/lost_responses.rs
+++ b/components/runs/tests/lost_responses.rs
@@ -47,7 +47,7 @@
         scene.handle(Event::Members { revision: Revision(41), members: vec![me] });
         scene.handle(Event::Executors(vec![executor()]));
         scene.wait(Span::from_millis(300));
-        scene.answer_latest_poll();
+        scene.respond_to_latest_poll();
         scene
     }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    fn answer_latest_poll(&mut self) {
+    fn respond_to_latest_poll(&mut self) {
         let Some(poll) = self.polls.pop() else { return };
         let listing = Listing {
             clock: self.clock(),
@@ -127,7 +127,7 @@
     scene.wait(Span::from_millis(60));
     let waits: Vec<_> = scene.polls.iter().map(|poll| poll.wait).collect();
     assert_eq!(waits.last(), Some(&Span::ZERO), "{waits:?}");
-    scene.answer_latest_poll();
+    scene.respond_to_latest_poll();
     scene.wait(Span::from_millis(300));
     assert_eq!(scene.stops, 0);
 }
@@ -150,13 +150,13 @@
     // Longer than a response may be held back, so it counts as lost. The next one arrives.
     scene.wait(Span::from_millis(200));
     scene.end();
-    scene.answer_latest_poll();
+    scene.respond_to_latest_poll();
     assert_eq!(scene.answer.take(), Some(Answer::Completed));
     scene.submit(Span::from_millis(60));
     scene.end();
     scene.wait(Span::from_millis(130));
     let waits: Vec<_> = scene.polls.iter().map(|poll| poll.wait).collect();
     assert_eq!(waits.last(), Some(&Span::ZERO), "{waits:?}");
-    scene.answer_latest_poll();
+    scene.respond_to_latest_poll();
     assert_eq!(scene.answer, Some(Answer::Completed));
 }
--- a/components/runs/tests/order.rs
+++ b/components/runs/tests/order.rs
@@ -87,11 +87,11 @@
         while self.now < until {
             self.now = self.now + TICK_INTERVAL;
             self.handle(Event::Tick);
-            self.answer_polls();
+            self.respond_to_polls();
         }
     }
 
-    fn answer_polls(&mut self) {
+    fn respond_to_polls(&mut self) {
         for poll in std::mem::take(&mut self.polls) {
             let clock = self.now.0 / 1_000;
             let listing = Listing {
