--- a/components/link/src/node/mod.rs
+++ b/components/link/src/node/mod.rs
@@ -28,7 +28,7 @@
 use table::Table;
 use traffic::Counters;
 
-/// Messages that can be sent to peers: all types that can be serialized and sent between threads.
+/// Messages that can be sent to peers: all types that can be serialised and sent between threads.
 pub trait Payload: Serialize + DeserializeOwned + Send + 'static {}
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> Payload for M {}
--- a/components/platform/src/claim/document.rs
+++ b/components/platform/src/claim/document.rs
@@ -8,7 +8,7 @@
 use site::id::{FirmId, SubmissionId};
 use std::{collections::BTreeMap, fmt, str::FromStr};
 
-/// The first half of the SHA-256 digest of a firm and its key. Serialized in hexadecimal.
+/// The first half of the SHA-256 digest of a firm and its key. Serialised in hexadecimal.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Digest(u128);
 
@@ -86,7 +86,7 @@
         serde_json::from_slice(text).ok()
     }
 
-    /// Serializes the document; `None` if it exceeds [`DOCUMENT_LIMIT`].
+    /// Serialises the document; `None` if it exceeds [`DOCUMENT_LIMIT`].
     pub(super) fn encode(&self) -> Option<Vec<u8>> {
         serde_json::to_vec(self).ok().filter(|text| text.len() <= DOCUMENT_LIMIT)
     }
--- a/components/platform/src/gateway/message.rs
+++ b/components/platform/src/gateway/message.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
-/// A 64-bit number, serialized as text.
+/// A 64-bit number, serialised as text.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) struct Int(pub(super) u64);
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Bytes, serialized in base64.
+/// Bytes, serialised in base64.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct Blob(pub(super) Bytes);
 
--- a/components/platform/src/text.rs
+++ b/components/platform/src/text.rs
@@ -1,9 +1,9 @@
-//! Serialization of values as text, through [`Display`] and [`FromStr`].
+//! Serialisation of values as text, through [`Display`] and [`FromStr`].
 
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 use std::{borrow::Cow, fmt::Display, str::FromStr};
 
-/// Serializes a value through [`Display`].
+/// Serialises a value through [`Display`].
 pub(crate) fn serialize<T: Display, S: Serializer>(
     value: &T,
     serializer: S,
@@ -11,7 +11,7 @@
     serializer.collect_str(value)
 }
 
-/// Deserializes a value through [`FromStr`].
+/// Deserialises a value through [`FromStr`].
 pub(crate) fn deserialize<'de, T, D>(deserializer: D) -> Result<T, D::Error>
 where
     T: FromStr<Err: Display>,
