--- a/components/client/src/exchange.rs
+++ b/components/client/src/exchange.rs
@@ -83,8 +83,8 @@
     key: CompactString,
     /// Reuses connections.
     reused: Client,
-    /// Opens a connection for each call. Used after a failure, since a fault of one reused
-    /// connection may affect the others.
+    /// Opens a connection for each call, since a fault of one reused connection may affect the
+    /// others.
     fresh: Client,
 }
 
--- a/components/entry/src/call_monitor.rs
+++ b/components/entry/src/call_monitor.rs
@@ -3,7 +3,7 @@
 use crate::Engine;
 use std::fmt::Display;
 
-/// Counts the results of one kind of call. Logs at a visible level only when results change between
+/// Counts the results of one kind of call. Logs above debug level only when results change between
 /// success and failure, not at each failure.
 #[derive(Debug)]
 pub(crate) struct CallMonitor {
@@ -22,9 +22,9 @@
         let call = self.call;
         engine.metrics().record_platform_call(call, result.is_ok());
         match result {
-            Ok(_) if self.failing => tracing::info!(call, "the platform answers again"),
+            Ok(_) if self.failing => tracing::info!(call, "calls to the platform succeed again"),
             Err(error) if !self.failing => {
-                tracing::warn!(call, %error, "a call to the platform failed; it is repeated");
+                tracing::warn!(call, %error, "a call to the platform failed; retrying");
             }
             Err(error) => tracing::debug!(call, %error, "a call to the platform failed again"),
             Ok(_) => {}
--- a/components/entry/src/config.rs
+++ b/components/entry/src/config.rs
@@ -138,7 +138,7 @@
                 Ok(files) => return self.install(found.revision, files),
                 Err(manifest::Error::Missing { digest }) => {
                     // A newer manifest has replaced this one; the feed will report it.
-                    tracing::info!(%digest, "the settings have changed since");
+                    tracing::info!(%digest, "the settings were replaced while they were read");
                     return;
                 }
                 Err(_) => drop(Timer::after(RETRY_INTERVAL).await),
--- a/components/entry/src/engine.rs
+++ b/components/entry/src/engine.rs
@@ -52,7 +52,7 @@
     pub transport: Arc<dyn Transport>,
     /// Sends messages to other entries.
     pub peers: Arc<dyn Peers>,
-    /// Receives decisions.
+    /// Decision log.
     pub log: Log,
 }
 
@@ -282,8 +282,8 @@
         self.dependencies.log.decide(now, decision);
     }
 
-    fn claim(self: &Arc<Self>, wanted: ClaimRequest) {
-        if let Err(full) = self.claims.0.try_send(wanted) {
+    fn claim(self: &Arc<Self>, request: ClaimRequest) {
+        if let Err(full) = self.claims.0.try_send(request) {
             let waiter = full.into_inner().waiter;
             self.post_later(Event::Claimed { waiter, result: Claim::Out });
         }
--- a/components/entry/src/folder.rs
+++ b/components/entry/src/folder.rs
@@ -76,7 +76,7 @@
         let names: BTreeSet<_> = self.files.keys().chain(files.keys()).filter(differs).collect();
         let names = names.into_iter().cloned().collect();
         self.files = files;
-        self.change(revision, names);
+        self.record_change(revision, names);
         true
     }
 
@@ -92,7 +92,7 @@
         let names = delta.files.keys().chain(&delta.removed).cloned().collect();
         self.files.retain(|name, _| !delta.removed.contains(name));
         self.files.extend(delta.files);
-        self.change(delta.revision, names);
+        self.record_change(delta.revision, names);
         true
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Sets the revision and adds the names of the changed files to the history.
-    fn change(&mut self, revision: Revision, names: Vec<CompactString>) {
+    fn record_change(&mut self, revision: Revision, names: Vec<CompactString>) {
         // Files that were never accepted can't be a base: other entries may hold different ones.
         if self.revision > Revision(0) {
             self.history.push_back(Change { base: self.revision, names });
--- a/components/entry/src/process.rs
+++ b/components/entry/src/process.rs
@@ -149,7 +149,7 @@
             self.engine.exited().await;
             true
         };
-        exited.or(self.exceeds_drain_limit()).await
+        exited.or(self.drain_timeout()).await
     }
 
     /// Closes the HTTP API and all connections, once requests in progress are answered.
@@ -167,7 +167,7 @@
     }
 
     /// Returns false once a planned stop has exceeded the drain limit.
-    async fn exceeds_drain_limit(&self) -> bool {
+    async fn drain_timeout(&self) -> bool {
         self.engine.drain_started().await;
         Timer::after(self.drain_limit).await;
         false
--- a/components/entry/src/registry.rs
+++ b/components/entry/src/registry.rs
@@ -45,7 +45,7 @@
         }
     }
     if let Err(error) = registration.leave(&*store).await {
-        tracing::info!(%error, "the registration is left to end by itself");
+        tracing::info!(%error, "failed to unregister; the registration will expire");
     }
 }
 
--- a/components/entry/tests/thin.rs
+++ b/components/entry/tests/thin.rs
@@ -15,9 +15,9 @@
 /// The key whose digest the settings hold.
 const KEY: &str = "quarry";
 
-struct Alone;
+struct NoPeers;
 
-impl Peers for Alone {
+impl Peers for NoPeers {
     fn send(&self, _: Home, _: Message) {}
 
     fn connected(&self) -> Vec<Home> {
@@ -70,7 +70,7 @@
     std::mem::forget(guard);
     let dependencies = Dependencies {
         transport: Arc::new(http::Client::new(home.incarnation, http::Options::default())),
-        peers: Arc::new(Alone),
+        peers: Arc::new(NoPeers),
         log,
     };
     let engine = Arc::new(Engine::new(options, dependencies, Metrics::new().unwrap()));
--- a/components/server/src/key.rs
+++ b/components/server/src/key.rs
@@ -15,7 +15,7 @@
 /// SHA-256 digest of a key.
 type Digest = [u8; DIGEST_LEN];
 
-/// Principal of a key.
+/// Firm or operator that a key belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Principal {
     /// A firm, which may submit work.
--- a/components/server/src/rejection.rs
+++ b/components/server/src/rejection.rs
@@ -92,9 +92,9 @@
     /// The body of a job is not JSON.
     #[display("malformed JSON at line {line}, column {column}")]
     MalformedJson {
-        /// Counts from 1.
+        /// Line of the error, from 1.
         line: usize,
-        /// Counts from 1.
+        /// Column of the error, from 1.
         column: usize,
     },
     /// The body of a job is JSON but not a job.
