--- a/components/health/src/blame.rs
+++ b/components/health/src/cause.rs
@@ -21,13 +21,13 @@
 
 /// The causes that failed most recently.
 #[derive(Debug, Default)]
-pub(crate) struct Blame {
+pub(crate) struct CauseTracker {
     causes: FxHashMap<Cause, FailedEndpoints>,
     /// The keys of `causes`, oldest first.
     order: VecDeque<Cause>,
 }
 
-impl Blame {
+impl CauseTracker {
     /// Records a failure and returns whether the cause is blamed rather than the endpoint.
     pub(crate) fn fail(&mut self, cause: Cause, id: EndpointId) -> bool {
         if !self.causes.contains_key(&cause) {
--- a/components/health/src/lib.rs
+++ b/components/health/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Nothing here reads a clock; the caller passes the time and drives the timers.
 
-mod blame;
+mod cause;
 mod monitor;
 mod observation;
 mod record;
--- a/components/health/src/monitor.rs
+++ b/components/health/src/monitor.rs
@@ -1,7 +1,7 @@
 //! Health monitor for all endpoints of a pool.
 
 use crate::{
-    blame::Blame,
+    cause::CauseTracker,
     observation::{Attempt, Change, Observation, State},
     record::{Record, SUSPECT_STREAK},
     rule::Rule,
@@ -48,7 +48,7 @@
     marks: VecDeque<(Time, EndpointId)>,
     /// When the state of an endpoint may have to change. May contain timers that no longer apply.
     timers: BTreeSet<(Time, EndpointId)>,
-    blame: Blame,
+    causes: CauseTracker,
     fleet: Fleet,
 }
 
@@ -104,8 +104,8 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn observe(&mut self, now: Time, id: EndpointId, what: Observation) -> Change {
-        self.observe_attempt(now, id, what, Attempt::default())
+    pub fn observe(&mut self, now: Time, id: EndpointId, observation: Observation) -> Change {
+        self.observe_attempt(now, id, observation, Attempt::default())
     }
 
     /// Records the outcome of an attempt whose start time or cause may be known.
@@ -113,16 +113,16 @@
         &mut self,
         now: Time,
         id: EndpointId,
-        what: Observation,
+        observation: Observation,
         attempt: Attempt,
     ) -> Change {
         self.release(id);
         self.expire_marks(now);
         let failed_start = attempt.started.unwrap_or(now);
-        match what {
+        match observation {
             Observation::Done { elapsed, expected } => {
                 if let Some(cause) = attempt.cause {
-                    self.blame.succeed(cause);
+                    self.causes.succeed(cause);
                 }
                 let started = attempt.started.unwrap_or(Time(now.0.saturating_sub(elapsed.0)));
                 let slow = self.measure(now, id, elapsed, expected);
@@ -131,7 +131,7 @@
             Observation::Refused => self.refuse(now, id),
             Observation::NotSent => self.fail(now, id, failed_start),
             Observation::Failed | Observation::Lost | Observation::TimedOut => {
-                let blamed = attempt.cause.is_some_and(|cause| self.blame.fail(cause, id));
+                let blamed = attempt.cause.is_some_and(|cause| self.causes.fail(cause, id));
                 if blamed && self.succeeded_recently(now, id) {
                     return Change::None;
                 }
--- a/components/membership/tests/properties.rs
+++ b/components/membership/tests/properties.rs
@@ -24,7 +24,7 @@
 /// An event that is passed to a view.
 #[derive(Clone, Debug)]
 enum Step {
-    Hear(usize, bool),
+    Contact(usize, bool),
     Connected(usize),
     Disconnected(usize),
     Registered(Vec<usize>),
@@ -35,7 +35,7 @@
 fn step() -> impl Strategy<Value = Step> {
     let several = || proptest::collection::vec(any::<usize>(), 0..6);
     prop_oneof![
-        4 => (any::<usize>(), any::<bool>()).prop_map(|(peer, d)| Step::Hear(peer, d)),
+        4 => (any::<usize>(), any::<bool>()).prop_map(|(peer, d)| Step::Contact(peer, d)),
         1 => any::<usize>().prop_map(Step::Connected),
         1 => any::<usize>().prop_map(Step::Disconnected),
         1 => several().prop_map(Step::Registered),
@@ -47,7 +47,7 @@
 fn apply(view: &mut View, now: &mut Time, step: &Step, all: &[Home]) -> bool {
     let pick = |n: &usize| all[n % all.len()];
     match step {
-        Step::Hear(peer, draining) => view.record_contact(*now, pick(peer), *draining),
+        Step::Contact(peer, draining) => view.record_contact(*now, pick(peer), *draining),
         Step::Connected(peer) => view.connected(*now, pick(peer)),
         Step::Disconnected(peer) => view.disconnected(*now, pick(peer)),
         Step::Registered(peers) => {
--- a/components/membership/tests/view.rs
+++ b/components/membership/tests/view.rs
@@ -34,9 +34,9 @@
     (from..=to)
         .step_by(100)
         .map(|ms| {
-            let heard =
+            let contact_changes =
                 peers.iter().filter(|peer| view.record_contact(at(ms), **peer, false)).count();
-            heard + usize::from(view.tick(at(ms)))
+            contact_changes + usize::from(view.tick(at(ms)))
         })
         .sum()
 }
@@ -90,8 +90,8 @@
     let changes: usize = (0..20)
         .map(|round| {
             let from = round * 2_000;
-            let heard = run(&mut view, from, from + 100, &[peer]);
-            heard + run(&mut view, from + 200, from + 1_900, &[])
+            let contact_changes = run(&mut view, from, from + 100, &[peer]);
+            contact_changes + run(&mut view, from + 200, from + 1_900, &[])
         })
         .sum();
     assert!(changes <= 4, "{changes} changes in 20 rounds");
--- a/components/settings/src/de.rs
+++ b/components/settings/src/de.rs
@@ -5,10 +5,10 @@
 //! object.
 
 use crate::{
-    fault::{Fault, NAME},
     location::Path,
     report::{Findings, Reason},
     tree::{Members, Node, Value},
+    value_error::{NAME, ValueError},
 };
 use compact_str::CompactString;
 use serde::{
@@ -45,31 +45,31 @@
     findings: &mut Findings,
 ) -> Option<T> {
     let label = path.0.last().map(CompactString::as_str);
-    let mut fault = match T::deserialize(Typed { node, label }) {
+    let mut error = match T::deserialize(Typed { node, label }) {
         Ok(value) => return Some(value),
-        Err(fault) => fault,
+        Err(error) => error,
     };
     let mut rest = node.clone();
     let mut removed = Vec::new();
     loop {
-        let at = fault.path();
-        if !is_consequence(&fault, &removed) {
-            let origin = fault.at.unwrap_or(node.key);
-            findings.error(origin, path.extend(&at), fault.reason);
+        let at = error.path();
+        if !is_consequence(&error, &removed) {
+            let origin = error.at.unwrap_or(node.key);
+            findings.error(origin, path.extend(&at), error.reason);
         }
         if !rest.remove(&at.0) {
             return None;
         }
         removed.push(at);
-        fault = T::deserialize(Typed { node: &rest, label }).err()?;
+        error = T::deserialize(Typed { node: &rest, label }).err()?;
     }
 }
 
 /// Returns whether a field is missing only because it was removed after an error in it.
-fn is_consequence(fault: &Fault, removed: &[Path]) -> bool {
-    match &fault.reason {
+fn is_consequence(error: &ValueError, removed: &[Path]) -> bool {
+    match &error.reason {
         Reason::MissingField { field } => {
-            let field = fault.path().join(field);
+            let field = error.path().join(field);
             removed.iter().any(|path| path.0.starts_with(&field.0))
         }
         _ => false,
@@ -93,7 +93,7 @@
         members: &'a Members,
         name: Option<&'a str>,
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         visitor.visit_map(Object {
             name,
             named: name.is_some(),
@@ -104,9 +104,9 @@
 }
 
 impl<'de> Deserializer<'de> for Typed<'_> {
-    type Error = Fault;
+    type Error = ValueError;
 
-    fn deserialize_any<V: de::Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_any<V: de::Visitor<'de>>(self, visitor: V) -> Result<V::Value, ValueError> {
         match &self.node.value {
             Value::Null => visitor.visit_unit(),
             Value::Bool(value) => visitor.visit_bool(*value),
@@ -122,25 +122,25 @@
         _name: &'static str,
         fields: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         let name = self.label.filter(|_| fields.contains(&NAME));
         match &self.node.value {
             Value::Object(members) if name.is_some() && members.contains_key(NAME) => {
-                Err(Fault::named(fields).within(NAME, members[NAME].key))
+                Err(ValueError::named(fields).within(NAME, members[NAME].key))
             }
             Value::Object(members) => self.object(members, name, visitor),
             other => Err(de::Error::invalid_type(unexpected(other), &"an object")),
         }
     }
 
-    fn deserialize_seq<V: de::Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_seq<V: de::Visitor<'de>>(self, visitor: V) -> Result<V::Value, ValueError> {
         match &self.node.value {
             Value::Object(members) => visitor.visit_seq(Labelled { members: members.iter() }),
             _ => self.deserialize_any(visitor),
         }
     }
 
-    fn deserialize_option<V: de::Visitor<'de>>(self, visitor: V) -> Result<V::Value, Fault> {
+    fn deserialize_option<V: de::Visitor<'de>>(self, visitor: V) -> Result<V::Value, ValueError> {
         match &self.node.value {
             Value::Null => visitor.visit_none(),
             _ => visitor.visit_some(self),
@@ -151,7 +151,7 @@
         self,
         _name: &'static str,
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         visitor.visit_newtype_struct(self)
     }
 
@@ -160,7 +160,7 @@
         _name: &'static str,
         _variants: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Fault> {
+    ) -> Result<V::Value, ValueError> {
         match &self.node.value {
             Value::Text(text) => visitor.visit_enum(text_choice(text)),
             other => Err(de::Error::invalid_type(unexpected(other), &"a string")),
@@ -173,11 +173,11 @@
     }
 }
 
-fn text_choice(text: &str) -> StrDeserializer<'_, Fault> {
+fn text_choice(text: &str) -> StrDeserializer<'_, ValueError> {
     text.into_deserializer()
 }
 
-fn number<'de, V: de::Visitor<'de>>(number: &Number, visitor: V) -> Result<V::Value, Fault> {
+fn number<'de, V: de::Visitor<'de>>(number: &Number, visitor: V) -> Result<V::Value, ValueError> {
     match (number.as_u64(), number.as_i64()) {
         (Some(value), _) => visitor.visit_u64(value),
         (None, Some(value)) => visitor.visit_i64(value),
@@ -212,30 +212,33 @@
 }
 
 impl<'de> de::MapAccess<'de> for Object<'_> {
-    type Error = Fault;
+    type Error = ValueError;
 
     fn next_key_seed<K: de::DeserializeSeed<'de>>(
         &mut self,
         seed: K,
-    ) -> Result<Option<K::Value>, Fault> {
+    ) -> Result<Option<K::Value>, ValueError> {
         if let Some(name) = self.name.take() {
             self.value = Some(Pending::Name(name));
             return seed.deserialize(text_choice(NAME)).map(Some);
         }
         let Some((key, node)) = self.members.next() else { return Ok(None) };
         self.value = Some(Pending::Member(key, node));
-        let key_of = |fault: Fault| if self.named { fault.nameless() } else { fault };
+        let key_of = |error: ValueError| if self.named { error.nameless() } else { error };
         seed.deserialize(text_choice(key))
             .map(Some)
-            .map_err(|fault| key_of(fault).within(key, node.key))
+            .map_err(|error| key_of(error).within(key, node.key))
     }
 
-    fn next_value_seed<V: de::DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Fault> {
+    fn next_value_seed<V: de::DeserializeSeed<'de>>(
+        &mut self,
+        seed: V,
+    ) -> Result<V::Value, ValueError> {
         match self.value.take() {
             Some(Pending::Name(name)) => seed.deserialize(text_choice(name)),
             Some(Pending::Member(key, node)) => seed
                 .deserialize(Typed { node, label: Some(key) })
-                .map_err(|fault| fault.within(key, node.at)),
+                .map_err(|error| error.within(key, node.at)),
             None => Err(de::Error::custom("a value without a key")),
         }
     }
@@ -248,17 +251,17 @@
 }
 
 impl<'de> de::SeqAccess<'de> for List<'_> {
-    type Error = Fault;
+    type Error = ValueError;
 
     fn next_element_seed<T: de::DeserializeSeed<'de>>(
         &mut self,
         seed: T,
-    ) -> Result<Option<T::Value>, Fault> {
+    ) -> Result<Option<T::Value>, ValueError> {
         let Some(node) = self.items.next() else { return Ok(None) };
         let key = self.position.to_string();
         self.position += 1;
         let element = seed.deserialize(Typed::unlabelled(node));
-        element.map(Some).map_err(|fault| fault.within(&key, node.at))
+        element.map(Some).map_err(|error| error.within(&key, node.at))
     }
 }
 
@@ -268,14 +271,14 @@
 }
 
 impl<'de> de::SeqAccess<'de> for Labelled<'_> {
-    type Error = Fault;
+    type Error = ValueError;
 
     fn next_element_seed<T: de::DeserializeSeed<'de>>(
         &mut self,
         seed: T,
-    ) -> Result<Option<T::Value>, Fault> {
+    ) -> Result<Option<T::Value>, ValueError> {
         let Some((key, node)) = self.members.next() else { return Ok(None) };
         let element = seed.deserialize(Typed { node, label: Some(key) });
-        element.map(Some).map_err(|fault| fault.within(key, node.at))
+        element.map(Some).map_err(|error| error.within(key, node.at))
     }
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -9,7 +9,6 @@
 mod de;
 mod diff;
 mod digest;
-mod fault;
 mod folder;
 pub mod limit;
 mod location;
@@ -20,6 +19,7 @@
 mod section;
 mod source;
 mod tree;
+mod value_error;
 
 pub use check::{Checked, collisions, parse};
 pub use diff::{Change, ChangeKind, diff};
--- a/components/settings/src/fault.rs
+++ b/components/settings/src/value_error.rs
@@ -14,16 +14,16 @@
 
 /// Error of deserializing a value.
 #[derive(Debug)]
-pub(crate) struct Fault {
+pub(crate) struct ValueError {
     pub(crate) reason: Reason,
     pub(crate) at: Option<Origin>,
     /// Keys of the path to the value, innermost first.
     keys: Vec<CompactString>,
 }
 
-impl Fault {
+impl ValueError {
     fn new(reason: Reason) -> Self {
-        Fault { reason, at: None, keys: Vec::new() }
+        ValueError { reason, at: None, keys: Vec::new() }
     }
 
     pub(crate) fn path(&self) -> Path {
@@ -32,7 +32,8 @@
 
     /// Returns the error for an object with a member `name`, although its key is its name.
     pub(crate) fn named(fields: &[&str]) -> Self {
-        Fault::new(Reason::UnknownField { field: NAME.into(), expected: names(fields) }).nameless()
+        ValueError::new(Reason::UnknownField { field: NAME.into(), expected: names(fields) })
+            .nameless()
     }
 
     /// Returns this error without `name` among the expected fields, for an object named by its key.
@@ -51,22 +52,22 @@
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.reason.fmt(f)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ValueError {}
 
-impl de::Error for Fault {
+impl de::Error for ValueError {
     fn custom<T: fmt::Display>(text: T) -> Self {
-        Fault::new(reason_from_text(&text.to_string()))
+        ValueError::new(reason_from_text(&text.to_string()))
     }
 
     fn invalid_type(found: de::Unexpected<'_>, expected: &dyn de::Expected) -> Self {
         let expected = expected.to_string().into();
-        Fault::new(Reason::Type { expected, found: found.to_string().into() })
+        ValueError::new(Reason::Type { expected, found: found.to_string().into() })
     }
 
     fn invalid_value(found: de::Unexpected<'_>, expected: &dyn de::Expected) -> Self {
@@ -74,15 +75,15 @@
     }
 
     fn unknown_variant(value: &str, expected: &'static [&'static str]) -> Self {
-        Fault::new(Reason::Choice { value: value.into(), expected: names(expected) })
+        ValueError::new(Reason::Choice { value: value.into(), expected: names(expected) })
     }
 
     fn unknown_field(field: &str, expected: &'static [&'static str]) -> Self {
-        Fault::new(Reason::UnknownField { field: field.into(), expected: names(expected) })
+        ValueError::new(Reason::UnknownField { field: field.into(), expected: names(expected) })
     }
 
     fn missing_field(field: &'static str) -> Self {
-        Fault::new(Reason::MissingField { field: field.into() })
+        ValueError::new(Reason::MissingField { field: field.into() })
     }
 }
 
