--- a/components/client/src/error.rs
+++ b/components/client/src/error.rs
@@ -13,7 +13,7 @@
     pub status: u16,
     /// Machine-readable code of the kind of problem.
     pub reason: CompactString,
-    /// Whether the submission ran, as far as known.
+    /// Outcome of the submission: not run, may have run, or ran and failed.
     pub outcome: Outcome,
     /// Human-readable explanation of this occurrence.
     pub detail: String,
@@ -46,7 +46,7 @@
     Deadline {
         /// Identifier of the submission; `None` if none was created.
         id: Option<SubmissionId>,
-        /// Whether the submission ran, as far as known.
+        /// Outcome of the submission: not run, may have run, or ran and failed.
         outcome: Outcome,
     },
     /// No entry responds.
@@ -61,7 +61,7 @@
 }
 
 impl Error {
-    /// Returns whether the submission ran, as far as known; `None` if the error does not tell.
+    /// Returns the outcome of the submission; `None` if the error does not determine it.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             Error::Problem(problem) => Some(problem.outcome),
--- a/components/demo/src/run.rs
+++ b/components/demo/src/run.rs
@@ -59,7 +59,7 @@
 pub struct Refusal {
     /// Error message, or a note that the job was not rejected.
     pub detail: String,
-    /// Whether the job ran, as far as known; `None` if unknown.
+    /// Outcome of the job; `None` if unknown.
     pub outcome: Option<Outcome>,
     /// Number of its tasks that started; must be 0.
     pub started: usize,
--- a/components/server/src/problem.rs
+++ b/components/server/src/problem.rs
@@ -40,7 +40,7 @@
     pub status: u16,
     /// Human-readable explanation of this occurrence.
     pub detail: String,
-    /// Whether the submission ran, as far as known.
+    /// Outcome of the submission: not run, may have run, or ran and failed.
     pub outcome: Outcome,
     /// Machine-readable code of the kind of problem.
     pub reason: &'static str,
