--- a/components/dispatch/src/action.rs
+++ b/components/dispatch/src/action.rs
@@ -53,7 +53,7 @@
     /// Claim an idempotency key for an identifier by compare-and-swap. Answered by exactly one
     /// [`crate::Event::Claimed`].
     Claim {
-        /// Caller to answer.
+        /// Caller for which the key is claimed.
         waiter: WaiterId,
         /// Firm that the key belongs to.
         firm: FirmId,
@@ -168,7 +168,7 @@
     Lend {
         /// The borrower.
         to: Home,
-        /// The requested service.
+        /// Service that the capacity is for.
         service: ServiceId,
         /// Number of slots lent.
         slots: u32,
--- a/components/dispatch/src/entry/members.rs
+++ b/components/dispatch/src/entry/members.rs
@@ -126,7 +126,7 @@
 
     /// Reroutes the requests that wait for homes that are gone or have a successor.
     fn reroute_gone(&self, now: Time, out: &mut Vec<Action>) {
-        for home in self.routed_homes() {
+        for home in self.forwarded_homes() {
             let status = self.members.lock().status(now, home);
             if status == Status::Gone || self.handovers.lock().successor(home).is_some() {
                 self.reroute(now, home, out);
--- a/components/dispatch/src/entry/route.rs
+++ b/components/dispatch/src/entry/route.rs
@@ -110,8 +110,8 @@
         }
         let (high, low) = id.unique.as_u64_pair();
         let hash_key = EndpointId(high ^ low);
-        let runner = self.substitute_for(hash_key);
-        match (runner, waiter) {
+        let substitute = self.substitute_for(hash_key);
+        match (substitute, waiter) {
             (Some(to), Waiter::Caller(caller)) if to != self.home => {
                 self.forward(now, caller, call, to, deadline, out);
             }
@@ -204,12 +204,12 @@
     }
 
     /// Returns the homes that open requests were forwarded to.
-    pub(super) fn routed_homes(&self) -> Vec<Home> {
+    pub(super) fn forwarded_homes(&self) -> Vec<Home> {
         self.forwarded.lock().by_home.keys().copied().collect()
     }
 
     /// Gives up forwarded requests that were not answered by their deadline.
-    pub(super) fn expire_routes(&self, now: Time, out: &mut Vec<Action>) {
+    pub(super) fn expire_forwarded(&self, now: Time, out: &mut Vec<Action>) {
         let due = self.forwarded.lock().take_due(now);
         for pending in due {
             let failure = may_have_run(Reason::Deadline, None);
--- a/components/dispatch/src/entry/submit.rs
+++ b/components/dispatch/src/entry/submit.rs
@@ -45,8 +45,9 @@
         let id = submission.id;
         let deadline = now + submission.deadline;
         let number = || self.next_job_number.fetch_add(1, Ordering::Relaxed);
-        let bar = || self.admission_rejection(id);
-        let admission = self.shard(id).lock().admit(&submission, waiter, deadline, bar, number);
+        let rejection = || self.admission_rejection(id);
+        let admission =
+            self.shard(id).lock().admit(&submission, waiter, deadline, rejection, number);
         self.schedule_tick(deadline);
         if let Admission::New(job) = &admission {
             return self.enqueue(now, job, out);
@@ -99,10 +100,10 @@
     /// draining entry.
     fn weaken_failure(&self, submission: &Submission, failure: Failure) -> Failure {
         let foreign = submission.id.home() != self.home;
-        let away = self.was_paused() || failure.reason == Reason::Draining;
-        let moved = self.may_run_elsewhere(submission) && away;
+        let was_absent = self.was_paused() || failure.reason == Reason::Draining;
+        let may_have_moved = self.may_run_elsewhere(submission) && was_absent;
         match failure.outcome {
-            Outcome::NotRun if foreign || moved => {
+            Outcome::NotRun if foreign || may_have_moved => {
                 Failure { outcome: Outcome::MayHaveRun, ..failure }
             }
             _ => failure,
--- a/components/dispatch/src/entry/timer.rs
+++ b/components/dispatch/src/entry/timer.rs
@@ -17,7 +17,7 @@
         self.next_tick.store((now + MAX_TICK_INTERVAL).0, Ordering::Relaxed);
         self.advance_epoch(now);
         self.expire_submissions(now, out);
-        self.expire_routes(now, out);
+        self.expire_forwarded(now, out);
         let changed = self.members.lock().tick(now);
         self.apply_changes(now, changed, out);
         self.send_heartbeats(now, out);
--- a/components/dispatch/src/pool/timer.rs
+++ b/components/dispatch/src/pool/timer.rs
@@ -30,8 +30,8 @@
         let hold = self.holds.peek().map(|Reverse(hold)| hold.until);
         let outbox = self.share.outbox.due;
         let health = self.health.next_timer();
-        let wish = self.next_capacity_request();
-        [hold, outbox, health, wish].into_iter().flatten().min().unwrap_or(Time::NEVER)
+        let request = self.next_capacity_request();
+        [hold, outbox, health, request].into_iter().flatten().min().unwrap_or(Time::NEVER)
     }
 
     fn release_holds(&mut self, now: Time) {
--- a/components/dispatch/tests/common/attempts.rs
+++ b/components/dispatch/tests/common/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts at tasks: their way to an executor, their end there, and what their entry hears of it.
+//! Simulates attempts: the way to an executor, the end there, and the report to the entry.
 
 use super::{
-    executor::{Began, Mode, Open},
-    world::{Parcel, World},
+    executor::{Mode, Open, StartRecord},
+    simulation::{Delivery, Simulation},
 };
 use ::site::{
     id::{AttemptId, EndpointId, Home},
@@ -14,21 +14,21 @@
     event::{Refusal, Reply, Report},
 };
 
-/// One way between an entry and an executor.
-const REACH: Span = Span(200);
+/// One-way latency between an entry and an executor.
+const ENDPOINT_LATENCY: Span = Span(200);
 
-impl World {
+impl Simulation {
     pub(super) fn start(&mut self, home: Home, start: Start) {
-        self.book.start(home, &start);
+        self.checker.start(home, &start);
         let key = (home, start.attempt);
         let limit = start.time_limit;
         let open = Open { start, since: self.now, began: false };
         assert!(self.open.insert(key, open).is_none(), "attempt {} is not new", key.1);
-        self.post(REACH, Parcel::Arrive(home, key.1));
-        self.post(limit, Parcel::Expire(home, key.1));
+        self.deliver_after(ENDPOINT_LATENCY, Delivery::Arrive(home, key.1));
+        self.deliver_after(limit, Delivery::Expire(home, key.1));
     }
 
-    /// The request reaches its executor, also when the process that sent it has ended since.
+    /// Delivers a request to its executor, even if the process that sent it has ended since.
     pub(super) fn arrive(&mut self, home: Home, attempt: AttemptId) {
         let Some(open) = self.open.get_mut(&(home, attempt)) else { return };
         let executor = self.executors.get_mut(&open.start.endpoint).expect("known executor");
@@ -37,7 +37,7 @@
         }
         open.began = true;
         let index = usize::from(open.start.task.index);
-        let began = Began {
+        let began = StartRecord {
             at: self.now,
             executor: executor.id,
             by: home,
@@ -48,13 +48,13 @@
         executor.running.push((home, attempt));
         let (id, run_time) = (executor.id, executor.run_time);
         let submission = open.start.submission.clone();
-        let silent = executor.mode == Mode::Mute;
+        let silent = executor.mode == Mode::SilentConnection;
         let running: Vec<_> = self.executors.values().flat_map(|x| x.running.clone()).collect();
-        self.book.began(&began, &submission, &self.ledger, &running);
-        self.ledger.push(began);
-        self.post(run_time, Parcel::Finish(home, attempt, id));
+        self.checker.began(&began, &submission, &self.starts, &running);
+        self.starts.push(began);
+        self.deliver_after(run_time, Delivery::Finish(home, attempt, id));
         if silent {
-            self.post(Span(run_time.0 / 2), Parcel::Silence(home, attempt));
+            self.deliver_after(Span(run_time.0 / 2), Delivery::Silence(home, attempt));
         }
     }
 
@@ -77,7 +77,7 @@
         let leaving = leaving || reply == Reply::Refused(Refusal::Leaving);
         let elapsed = self.now.since(open.since);
         if leaving {
-            self.book.told_leaving(home, open.start.endpoint);
+            self.checker.record_leaving(home, open.start.endpoint);
         }
         self.tell(home, Event::Report(Report { attempt, reply, leaving, elapsed }));
     }
--- a/components/dispatch/tests/common/caller.rs
+++ b/components/dispatch/tests/common/caller.rs
@@ -1,8 +1,8 @@
-//! What callers do in the world.
+//! Calls of the simulation's callers.
 
 use super::{
+    simulation::Simulation,
     site::{Work, firm},
-    world::World,
 };
 use ::site::{
     id::{Home, SubmissionId, WaiterId},
@@ -10,31 +10,31 @@
 };
 use dispatch::Event;
 
-impl World {
+impl Simulation {
     pub fn submit(&mut self, via: Home, work: &Work, id: SubmissionId) -> WaiterId {
-        let waiter = self.book.call(self.now, via, work, work.deadline);
+        let waiter = self.checker.add_submit(self.now, via, work, work.deadline);
         self.tell(via, Event::Submit { waiter, submission: work.submission(id) });
         waiter
     }
 
     pub fn submit_keyed(&mut self, via: Home, work: &Work, fresh: SubmissionId) -> WaiterId {
-        let first = !self.book.knows(work);
-        let waiter = self.book.call(self.now, via, work, work.deadline);
+        let first = !self.checker.has_submission(work);
+        let waiter = self.checker.add_submit(self.now, via, work, work.deadline);
         let (key, submission) = (work.name.as_str().into(), work.submission(fresh));
         self.tell(via, Event::SubmitKeyed { waiter, key, first, submission });
         waiter
     }
 
     pub fn cancel(&mut self, via: Home, work: &Work, id: SubmissionId) -> WaiterId {
-        let waiter = self.book.ask(self.now, via, work, Span::from_secs(5));
+        let waiter = self.checker.add_request(self.now, via, work, Span::from_secs(5));
         self.tell(via, Event::Cancel { waiter, id, firm: firm(work.firm) });
         waiter
     }
 
-    /// Waits for an answer as `who`, which may be another firm than the submitting one.
+    /// Waits for an answer as firm `who`, which may differ from the submitting one.
     pub fn fetch(&mut self, via: Home, work: &Work, id: SubmissionId, who: usize) -> WaiterId {
         let asked = work.clone().of(who);
-        let waiter = self.book.ask(self.now, via, &asked, work.deadline);
+        let waiter = self.checker.add_request(self.now, via, &asked, work.deadline);
         let deadline = work.deadline;
         self.tell(via, Event::Fetch { waiter, id, firm: firm(who), deadline });
         waiter
--- a/components/dispatch/tests/common/executor.rs
+++ b/components/dispatch/tests/common/executor.rs
@@ -1,4 +1,4 @@
-//! Executors that keep a ledger of every start.
+//! Executors that record every start.
 
 use ::site::{
     id::{AttemptId, EndpointId, Home, TaskId},
@@ -11,30 +11,31 @@
     event::{Refusal, Reply},
 };
 
-/// What an executor does with the next tasks.
+/// Behaviour of an executor towards the next tasks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
-    /// Runs them and answers.
+    /// Runs them and responds.
     Work,
-    /// Runs them and answers with a failure.
+    /// Runs them and responds with a failure.
     Fail,
     /// Refuses connections.
     Down,
-    /// Refuses them for a reason of its own.
+    /// Refuses them for another reason than being busy or leaving.
     Refuse,
-    /// Runs them, and the connection breaks on the way back.
+    /// Runs them, and the connection breaks before the response.
     LoseAnswer,
     /// The connection breaks before they arrive.
     LoseRequest,
-    /// Runs them, and the connection falls silent meanwhile.
-    Mute,
-    /// Runs them and never answers.
-    Silent,
+    /// Runs them, and the connection becomes idle meanwhile, which the entry detects after half the
+    /// run time.
+    SilentConnection,
+    /// Runs them and never responds.
+    NoResponse,
 }
 
-/// A line of the ledger: a task began to run.
+/// Record of a task that began to run.
 #[derive(Clone, Debug)]
-pub struct Began {
+pub struct StartRecord {
     pub at: Time,
     pub executor: EndpointId,
     pub by: Home,
@@ -43,7 +44,7 @@
     pub body: Bytes,
 }
 
-/// An attempt that its process waits for.
+/// An attempt whose report has not been sent yet.
 #[derive(Clone, Debug)]
 pub struct Open {
     pub start: Start,
@@ -66,7 +67,7 @@
         Executor { id, slots, mode: Mode::Work, leaving: false, run_time, running: Vec::new() }
     }
 
-    /// What is known at once, or `None` when the task begins.
+    /// Returns the reply that is known on arrival, or `None` when the task begins to run.
     pub fn receive(&self) -> Option<Reply> {
         match self.mode {
             Mode::Down => Some(Reply::NotSent),
@@ -78,10 +79,10 @@
         }
     }
 
-    /// What the process learns when a task ends; `None` when nothing.
+    /// Returns the reply at the end of a task; `None` when there is none.
     pub fn reply(&self, body: &Bytes) -> Option<Reply> {
         match self.mode {
-            Mode::Silent | Mode::Mute => None,
+            Mode::NoResponse | Mode::SilentConnection => None,
             Mode::LoseAnswer => Some(Reply::Lost),
             Mode::Fail => Some(Reply::Failed(output(500, body))),
             _ => Some(Reply::Done(output(200, body))),
@@ -89,7 +90,7 @@
     }
 }
 
-/// The output of a task names it.
+/// Returns an output that contains the body of its task.
 pub fn output(status: u16, body: &Bytes) -> Output {
     let mut text = b"ran ".to_vec();
     text.extend_from_slice(body);
--- a/components/dispatch/tests/common/platform.rs
+++ b/components/dispatch/tests/common/platform.rs
@@ -1,23 +1,23 @@
-//! The platform: claims by compare-and-swap, and lists that lag by one publication.
+//! Simulates the platform: key claims by compare-and-swap, and lists that lag by one publication.
 
 use ::site::id::{EndpointId, EntryId, FirmId, Home, SubmissionId};
 use compact_str::CompactString;
 use dispatch::event::ClaimResult;
 use std::collections::BTreeMap;
 
-/// How the platform's service answers.
+/// State of the platform's key-value service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Service {
     #[default]
     Up,
-    /// Nothing takes effect.
-    Out,
-    /// The change takes effect and its answer stays unknown.
+    /// Requests have no effect.
+    Unavailable,
+    /// The change takes effect, but the response is lost.
     AnswerLost,
 }
 
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct ClaimRequest {
     pub firm: FirmId,
     pub key: CompactString,
     pub id: SubmissionId,
@@ -28,27 +28,27 @@
 pub struct Platform {
     pub service: Service,
     pub claims: BTreeMap<(FirmId, CompactString), SubmissionId>,
-    /// What the next publication tells.
+    /// Lists that the next publication contains.
     pub registered: Vec<Home>,
     pub gone: Vec<EntryId>,
     pub leaving: Vec<EndpointId>,
 }
 
 impl Platform {
-    pub fn claim(&mut self, wanted: Wanted) -> ClaimResult {
-        if self.service == Service::Out {
+    pub fn claim(&mut self, request: ClaimRequest) -> ClaimResult {
+        if self.service == Service::Unavailable {
             return ClaimResult::Unavailable;
         }
-        let key = (wanted.firm, wanted.key);
+        let key = (request.firm, request.key);
         let holder = self.claims.get(&key).copied();
-        let free = holder.is_none() || holder == wanted.replaces;
+        let free = holder.is_none() || holder == request.replaces;
         if free {
-            self.claims.insert(key, wanted.id);
+            self.claims.insert(key, request.id);
         }
         match holder {
             _ if self.service == Service::AnswerLost => ClaimResult::Unavailable,
-            Some(id) if !free && id != wanted.id => ClaimResult::Taken(id),
-            _ => ClaimResult::Won(wanted.id),
+            Some(id) if !free && id != request.id => ClaimResult::Taken(id),
+            _ => ClaimResult::Won(request.id),
         }
     }
 }
--- a/components/dispatch/tests/common/world.rs
+++ b/components/dispatch/tests/common/simulation.rs
@@ -1,9 +1,9 @@
-//! The world: processes of entries, the time, and everything that is on its way.
+//! The simulation: processes of entries, virtual time, and everything in transit.
 
 use super::{
-    check::Book,
-    executor::{Began, Executor, Open},
-    platform::{Platform, Wanted},
+    check::Checker,
+    executor::{Executor, Open, StartRecord},
+    platform::{ClaimRequest, Platform},
     site::{RUN_TIME, Shape, Work, data_centre, executor_id, firm},
 };
 use ::site::{
@@ -17,97 +17,98 @@
     sync::Arc,
 };
 
-/// A round trip to the platform.
-const CLAIM: Span = Span::from_millis(3);
+/// Round-trip time to the platform.
+const PLATFORM_ROUND_TRIP: Span = Span::from_millis(3);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Life {
+pub enum ProcessState {
     Up,
-    /// Takes no step; what it is told waits.
-    Frozen,
-    Dead,
+    /// Handles no events; they are kept until it resumes.
+    Paused,
+    Ended,
 }
 
 pub struct Process {
     pub home: Home,
     pub entry: Entry,
-    pub life: Life,
-    /// Told while it was frozen.
+    pub state: ProcessState,
+    /// Events received while it was paused.
     held: Vec<Event>,
-    /// No two ticks at one moment.
+    /// Time of the last tick, so that two ticks are never at the same time.
     ticked: Time,
 }
 
-/// Something on its way.
+/// Something in transit, or a timer.
 #[derive(Debug)]
-pub(super) enum Parcel {
+pub(super) enum Delivery {
     Event(Home, Event),
     Message { from: Home, to: Home, connection: u32, message: Message },
     Arrive(Home, AttemptId),
     Finish(Home, AttemptId, EndpointId),
     Expire(Home, AttemptId),
     Silence(Home, AttemptId),
-    Claim(Home, WaiterId, Wanted),
+    Claim(Home, WaiterId, ClaimRequest),
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Time,
     pub shape: Shape,
     pub revision: Revision,
     pub processes: Vec<Process>,
     pub executors: BTreeMap<EndpointId, Executor>,
     pub platform: Platform,
-    pub ledger: Vec<Began>,
+    pub starts: Vec<StartRecord>,
     pub log: Vec<(Time, Home, Decision)>,
-    pub book: Book,
+    pub checker: Checker,
     pub open: BTreeMap<(Home, AttemptId), Open>,
     /// Pairs of VMs that can't reach each other.
-    pub(super) cuts: BTreeSet<(usize, usize)>,
+    pub(super) partitions: BTreeSet<(usize, usize)>,
     /// Number of the connection between two processes; odd while it is up.
     pub(super) connections: BTreeMap<(Home, Home), u32>,
-    parcels: BTreeMap<(Time, u64), Parcel>,
+    deliveries: BTreeMap<(Time, u64), Delivery>,
     sequence: u64,
     incarnations: u64,
     leads: u32,
 }
 
-impl World {
-    /// `entries` entries, connected, that have heard of each other. `leads` of them place tasks.
-    pub fn new(shape: Shape, entries: usize, leads: u32) -> World {
-        let mut world = World {
+impl Simulation {
+    /// Creates `entries` connected entries that have exchanged heartbeats. `leads` of them are lead
+    /// entries.
+    pub fn new(shape: Shape, entries: usize, leads: u32) -> Simulation {
+        let mut sim = Simulation {
             now: Time(0),
             revision: Revision(1),
             processes: Vec::new(),
             executors: BTreeMap::new(),
             platform: Platform::default(),
-            ledger: Vec::new(),
+            starts: Vec::new(),
             log: Vec::new(),
-            book: Book::default(),
+            checker: Checker::default(),
             open: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             connections: BTreeMap::new(),
-            parcels: BTreeMap::new(),
+            deliveries: BTreeMap::new(),
             sequence: 0,
             incarnations: 0,
             leads,
             shape,
         };
-        for number in 0..world.shape.executors {
+        for number in 0..sim.shape.executors {
             let id = executor_id(number);
-            world.executors.insert(id, Executor::new(id, world.shape.slots as usize, RUN_TIME));
+            sim.executors.insert(id, Executor::new(id, sim.shape.slots as usize, RUN_TIME));
         }
         for vm in 0..entries {
-            world.boot(vm);
+            sim.boot(vm);
         }
-        world.run(Span::from_secs(2));
-        world
+        sim.run(Span::from_secs(2));
+        sim
     }
 
     fn site(&self) -> Arc<Site> {
         self.shape.build()
     }
 
-    /// Starts a new process on a VM, besides a frozen one if there is any.
+    /// Starts a new process on a VM, beside a paused one if there is one.
     pub fn boot(&mut self, vm: usize) -> Home {
         self.incarnations += 1;
         let home = Home {
@@ -130,13 +131,14 @@
         self.processes.push(Process {
             home,
             entry,
-            life: Life::Up,
+            state: ProcessState::Up,
             held: Vec::new(),
             ticked: Time(0),
         });
         let others: Vec<Home> = self.processes.iter().map(|process| process.home).collect();
-        self.book.booted(home, &others);
-        self.book.learn(home, &Event::Settings { revision: self.revision, site: self.site() });
+        self.checker.booted(home, &others);
+        self.checker
+            .record_event(home, &Event::Settings { revision: self.revision, site: self.site() });
         self.connect_all();
         home
     }
@@ -145,9 +147,9 @@
         self.processes.iter().find(|process| process.home == home)
     }
 
-    /// The latest process of a VM that has not ended.
+    /// Returns the latest process of a VM that has not ended.
     pub fn at(&self, vm: usize) -> Option<Home> {
-        let ours = |p: &&Process| p.home.entry.0 == vm as u64 && p.life != Life::Dead;
+        let ours = |p: &&Process| p.home.entry.0 == vm as u64 && p.state != ProcessState::Ended;
         self.processes.iter().rev().find(ours).map(|process| process.home)
     }
 
@@ -157,37 +159,37 @@
     }
 
     pub fn live(&self) -> Vec<Home> {
-        let up = self.processes.iter().filter(|process| process.life == Life::Up);
+        let up = self.processes.iter().filter(|process| process.state == ProcessState::Up);
         up.map(|process| process.home).collect()
     }
 
-    fn set_life(&mut self, home: Home, life: Life) {
+    fn set_state(&mut self, home: Home, state: ProcessState) {
         let process = self.processes.iter_mut().find(|process| process.home == home);
-        process.expect("the process is known").life = life;
+        process.expect("the process is known").state = state;
     }
 
     // Faults.
 
     pub fn kill(&mut self, home: Home) {
-        self.set_life(home, Life::Dead);
+        self.set_state(home, ProcessState::Ended);
         let peers: Vec<Home> = self.processes.iter().map(|process| process.home).collect();
         peers.into_iter().for_each(|peer| self.disconnect(home, peer));
-        self.book.ended(home);
+        self.checker.ended(home);
     }
 
-    pub fn freeze(&mut self, home: Home) {
-        self.set_life(home, Life::Frozen);
-        self.book.paused(home);
+    pub fn pause(&mut self, home: Home) {
+        self.set_state(home, ProcessState::Paused);
+        self.checker.paused(home);
     }
 
-    pub fn thaw(&mut self, home: Home) {
-        self.set_life(home, Life::Up);
+    pub fn resume(&mut self, home: Home) {
+        self.set_state(home, ProcessState::Up);
         let process = self.processes.iter_mut().find(|process| process.home == home);
         let held = process.map(|process| std::mem::take(&mut process.held)).unwrap_or_default();
         held.into_iter().for_each(|event| self.handle(home, event));
     }
 
-    /// Puts settings in force at the given VMs.
+    /// Sends settings to the given VMs.
     pub fn configure(&mut self, shape: Shape, revision: Revision, vms: &[usize]) {
         if revision > self.revision {
             (self.revision, self.shape) = (revision, shape.clone());
@@ -199,13 +201,13 @@
         }
     }
 
-    /// The platform publishes what it knew at the publication before.
+    /// Publishes the platform's lists as of the previous publication.
     pub fn publish(&mut self) {
-        let up = self.processes.iter().filter(|process| process.life != Life::Dead);
+        let up = self.processes.iter().filter(|process| process.state != ProcessState::Ended);
         let current = up.map(|process| process.home).collect();
         let entries = std::mem::replace(&mut self.platform.registered, current);
         let (gone, leaving) = (self.platform.gone.clone(), self.platform.leaving.clone());
-        self.book.gone_entries.extend(&gone);
+        self.checker.gone_entries.extend(&gone);
         for home in self.live() {
             self.tell(home, Event::Registry { entries: entries.clone() });
             self.tell(home, Event::Machines { gone: gone.clone(), leaving: leaving.clone() });
@@ -214,23 +216,26 @@
 
     // Time.
 
-    /// Hands an event to a process now, or when it wakes.
+    /// Passes an event to a process now, or when it resumes.
     pub fn tell(&mut self, home: Home, event: Event) {
         let Some(process) = self.processes.iter_mut().find(|p| p.home == home) else { return };
-        match process.life {
-            Life::Up => self.handle(home, event),
-            Life::Frozen => process.held.push(event),
-            Life::Dead => {}
+        match process.state {
+            ProcessState::Up => self.handle(home, event),
+            ProcessState::Paused => process.held.push(event),
+            ProcessState::Ended => {}
         }
     }
 
     fn handle(&mut self, home: Home, event: Event) {
         let mut actions = Vec::new();
-        self.book.learn(home, &event);
+        self.checker.record_event(home, &event);
         let Some(process) = self.processes.iter_mut().find(|p| p.home == home) else { return };
         let before = process.entry.revision();
         process.entry.handle(self.now, event, &mut actions);
-        assert!(process.entry.revision() >= before, "settings went back at {home}");
+        assert!(
+            process.entry.revision() >= before,
+            "an older revision of the settings is in force at {home}"
+        );
         actions.into_iter().for_each(|action| self.carry_out(home, action));
     }
 
@@ -238,39 +243,42 @@
         match action {
             Action::Start(start) => self.start(home, start),
             Action::Answer { waiter, id, answer } => {
-                self.book.answer(self.now, waiter, id, &answer, &self.ledger);
+                self.checker.answer(self.now, waiter, id, &answer, &self.starts);
             }
             Action::Send { to, message } => self.send(home, to, message),
             Action::Claim { waiter, firm, key, id, replaces, time_limit } => {
-                let wanted = Wanted { firm, key, id, replaces };
-                self.post(CLAIM.min(time_limit), Parcel::Claim(home, waiter, wanted));
+                let request = ClaimRequest { firm, key, id, replaces };
+                self.deliver_after(
+                    PLATFORM_ROUND_TRIP.min(time_limit),
+                    Delivery::Claim(home, waiter, request),
+                );
             }
             Action::Log(decision) => self.log.push((self.now, home, decision)),
             Action::Exit => {
-                self.book.exit(home);
+                self.checker.exit(home);
                 self.kill(home);
             }
             Action::Stop { .. } | Action::Status { .. } => {}
         }
     }
 
-    pub(super) fn post(&mut self, wait: Span, parcel: Parcel) {
+    pub(super) fn deliver_after(&mut self, wait: Span, delivery: Delivery) {
         self.sequence += 1;
-        self.parcels.insert((self.now + wait, self.sequence), parcel);
+        self.deliveries.insert((self.now + wait, self.sequence), delivery);
     }
 
     fn next_tick(&self) -> Option<(Time, Home)> {
-        let up = self.processes.iter().filter(|process| process.life == Life::Up);
+        let up = self.processes.iter().filter(|process| process.state == ProcessState::Up);
         up.map(|p| (p.entry.next_timer().max(p.ticked + Span(100)), p.home)).min()
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
         loop {
-            let parcel = self.parcels.keys().next().map(|(time, _)| *time);
-            let tick = self.next_tick().filter(|(time, _)| parcel.is_none_or(|p| *time < p));
-            let next = tick.map(|(time, _)| time).or(parcel).unwrap_or(Time::NEVER);
+            let delivery = self.deliveries.keys().next().map(|(time, _)| *time);
+            let tick = self.next_tick().filter(|(time, _)| delivery.is_none_or(|p| *time < p));
+            let next = tick.map(|(time, _)| time).or(delivery).unwrap_or(Time::NEVER);
             if next > end {
                 break;
             }
@@ -279,7 +287,7 @@
                 Some((_, home)) => self.tick(home),
                 None => self.deliver(),
             }
-            self.book.check_times(self.now);
+            self.checker.check_times(self.now);
         }
         self.now = end;
     }
@@ -292,46 +300,46 @@
     }
 
     fn deliver(&mut self) {
-        let Some((_, parcel)) = self.parcels.pop_first() else { return };
-        match parcel {
-            Parcel::Event(home, event) => self.tell(home, event),
-            Parcel::Message { from, to, connection, message } => {
+        let Some((_, delivery)) = self.deliveries.pop_first() else { return };
+        match delivery {
+            Delivery::Event(home, event) => self.tell(home, event),
+            Delivery::Message { from, to, connection, message } => {
                 if self.is_connected(from, to, connection) {
                     self.tell(to, Event::Message { from, message });
                 }
             }
-            Parcel::Arrive(home, attempt) => self.arrive(home, attempt),
-            Parcel::Finish(home, attempt, executor) => self.finish(home, attempt, executor),
-            Parcel::Expire(home, attempt) => self.report(home, attempt, Reply::TimedOut),
-            Parcel::Silence(home, attempt) => self.report(home, attempt, Reply::Silent),
-            Parcel::Claim(home, waiter, wanted) => {
-                let result = self.platform.claim(wanted);
+            Delivery::Arrive(home, attempt) => self.arrive(home, attempt),
+            Delivery::Finish(home, attempt, executor) => self.finish(home, attempt, executor),
+            Delivery::Expire(home, attempt) => self.report(home, attempt, Reply::TimedOut),
+            Delivery::Silence(home, attempt) => self.report(home, attempt, Reply::Silent),
+            Delivery::Claim(home, waiter, request) => {
+                let result = self.platform.claim(request);
                 self.tell(home, Event::Claimed { waiter, result });
             }
         }
     }
 
-    /// Tasks that run now, at the executors.
+    /// Returns the number of tasks running at the executors.
     pub fn running(&self) -> usize {
         self.executors.values().map(|executor| executor.running.len()).sum()
     }
 
-    /// What the live entries together may use of all executors, in slots.
+    /// Returns the capacity of all executors, in slots, that the live entries together may use.
     pub fn usable(&self) -> u32 {
-        let entries = self.processes.iter().filter(|p| p.life == Life::Up).map(|p| &p.entry);
+        let entries =
+            self.processes.iter().filter(|p| p.state == ProcessState::Up).map(|p| &p.entry);
         let pools = entries.flat_map(|entry| entry.overview().pools);
         pools.flat_map(|pool| pool.endpoints).map(|e| e.free.slots.0 + e.in_use.slots.0).sum()
     }
 
-    /// New executors take the place of those that left: the settings leave all of them out and
-    /// name them again.
+    /// Replaces all executors that left: the settings omit all of them and then contain them again.
     pub fn replace_executors(&mut self) {
         let all: Vec<usize> = (0..64).collect();
         let shape = Shape { leaving: Vec::new(), absent: Vec::new(), ..self.shape.clone() };
         let none = Shape { absent: (0..shape.executors).collect(), ..shape.clone() };
         self.configure(none, Revision(self.revision.0 + 1), &all);
         self.run(Span::from_millis(100));
-        (0..self.shape.executors).for_each(|number| self.book.replaced(executor_id(number)));
+        (0..self.shape.executors).for_each(|number| self.checker.replaced(executor_id(number)));
         self.configure(shape, Revision(self.revision.0 + 1), &all);
     }
 }
--- a/components/dispatch/tests/common/site.rs
+++ b/components/dispatch/tests/common/site.rs
@@ -1,4 +1,4 @@
-//! A small site and the submissions that its firms make.
+//! A small site and the submissions of its firms.
 
 use bytes::Bytes;
 use site::{
@@ -14,16 +14,16 @@
 pub const FIRMS: [&str; 2] = ["kitchens", "hotels"];
 pub const RUN_TIME: Span = Span::from_millis(50);
 
-/// The shape of a site.
+/// Parameters of a site.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub data_centres: usize,
     pub executors: usize,
     pub slots: u32,
     pub quota: Option<u32>,
-    /// Names of executors that the settings mark as leaving.
+    /// Numbers of executors that the settings mark as leaving.
     pub leaving: Vec<usize>,
-    /// Names of executors that the settings leave out.
+    /// Numbers of executors that the settings omit.
     pub absent: Vec<usize>,
 }
 
@@ -108,7 +108,8 @@
     FirmId::of(FIRMS[number])
 }
 
-/// What a caller wants run. Bodies name the request and the task, so no two are alike.
+/// A request of a caller. Each body contains the request's name and the task's index, so no two are
+/// equal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Work {
     pub name: String,
@@ -169,7 +170,7 @@
     }
 }
 
-/// The identifier numbered `unique` under a token.
+/// Returns the identifier numbered `unique` under a token.
 pub fn id(token: Token, unique: u64) -> SubmissionId {
     SubmissionId { token, unique: Uuid::from_u64_pair(unique, !unique) }
 }
--- a/components/dispatch/tests/common/step.rs
+++ b/components/dispatch/tests/common/step.rs
@@ -1,10 +1,11 @@
-//! Steps of a random run: what callers, operators, machines and the platform may do.
+//! Steps of a random run: actions of callers and operators, and faults of VMs, executors, network
+//! and platform.
 
 use super::{
     executor::Mode,
     platform::Service,
+    simulation::{ProcessState, Simulation},
     site::{FIRMS, Shape, Work, executor_id, id},
-    world::{Life, World},
 };
 use ::site::{
     id::{EntryId, Home, SubmissionId},
@@ -13,14 +14,14 @@
 };
 use dispatch::Event;
 
-/// How a caller names its request.
+/// How the identifier of a request is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Name {
-    /// By an identifier made with the token that the entry gives out.
+    /// Made with the token that the entry gives out.
     Token,
-    /// By an identifier of this very VM's process.
+    /// Made with the token of the process on this VM.
     Home(usize),
-    /// By a key of its own.
+    /// Chosen by the entry, for a key of the caller.
     Key,
 }
 
@@ -34,8 +35,8 @@
         tasks: u16,
         firm: usize,
     },
-    /// A caller that believes a submission lost submits it again.
-    Again {
+    /// A caller submits a submission again.
+    Resubmit {
         which: usize,
         vm: usize,
     },
@@ -52,32 +53,32 @@
         number: usize,
         mode: Mode,
     },
-    /// An executor says that it leaves.
-    Leave {
+    /// An executor reports that it is leaving.
+    ReportLeaving {
         number: usize,
     },
     /// The platform lists an executor as leaving.
-    List {
+    ListLeaving {
         number: usize,
     },
     Publish,
     Kill {
         vm: usize,
     },
-    /// The VM is gone from the platform's list.
-    Lose {
+    /// The VM is removed from the platform's list.
+    RemoveVm {
         vm: usize,
     },
     Boot {
         vm: usize,
     },
-    Freeze {
+    Pause {
         vm: usize,
     },
-    Thaw {
+    Resume {
         vm: usize,
     },
-    Cut {
+    Partition {
         a: usize,
         b: usize,
     },
@@ -85,8 +86,8 @@
         a: usize,
         b: usize,
     },
-    /// A connection breaks and is back at once.
-    Blip {
+    /// A connection breaks and is established again at once.
+    Reconnect {
         a: usize,
         b: usize,
     },
@@ -96,8 +97,8 @@
     Platform {
         service: Service,
     },
-    /// Settings that reach some entries; older ones than those in force, too. The revision says
-    /// which executor leaves.
+    /// Settings that reach some of the entries, possibly older than those in force. The revision
+    /// determines which executor is leaving.
     Settings {
         revision: u64,
         vms: usize,
@@ -115,49 +116,49 @@
     keyed: bool,
 }
 
-/// A world under a random run.
+/// A simulation under a random run.
 pub struct Run {
-    pub world: World,
+    pub sim: Simulation,
     known: Vec<Known>,
     entries: usize,
 }
 
 impl Run {
-    pub fn new(world: World, entries: usize) -> Run {
-        Run { world, known: Vec::new(), entries }
+    pub fn new(sim: Simulation, entries: usize) -> Run {
+        Run { sim, known: Vec::new(), entries }
     }
 
     fn up(&self, vm: usize) -> Option<Home> {
-        let up = |home: &Home| self.world.process(*home).is_some_and(|p| p.life == Life::Up);
-        self.world.at(vm % self.entries).filter(up)
+        let up = |home: &Home| self.sim.process(*home).is_some_and(|p| p.state == ProcessState::Up);
+        self.sim.at(vm % self.entries).filter(up)
     }
 
-    /// The process on a VM in that state of life.
-    fn in_life(&self, vm: usize, life: Life) -> Option<Home> {
-        let processes = self.world.processes.iter().rev();
+    /// Returns the latest process on a VM in this state.
+    fn process_in_state(&self, vm: usize, state: ProcessState) -> Option<Home> {
+        let processes = self.sim.processes.iter().rev();
         let mut ours = processes.filter(|p| p.home.entry.0 == (vm % self.entries) as u64);
-        ours.find(|p| p.life == life).map(|p| p.home)
+        ours.find(|p| p.state == state).map(|p| p.home)
     }
 
     pub fn apply(&mut self, step: &Step) {
         match step {
             Step::Submit { .. } => self.submit(step),
-            Step::Again { which, vm } => {
+            Step::Resubmit { which, vm } => {
                 let Some((via, known)) = self.up(*vm).zip(self.pick(*which)) else { return };
                 self.resubmit(via, &known);
             }
             Step::Cancel { which, vm } => {
                 let Some((via, known)) = self.up(*vm).zip(self.pick(*which)) else { return };
-                self.world.cancel(via, &known.work, known.id);
+                self.sim.cancel(via, &known.work, known.id);
             }
             Step::Fetch { which, vm, firm } => {
                 let Some((via, known)) = self.up(*vm).zip(self.pick(*which)) else { return };
-                self.world.fetch(via, &known.work, known.id, *firm);
+                self.sim.fetch(via, &known.work, known.id, *firm);
             }
-            Step::Wait { ms } => self.world.run(Span::from_millis(*ms)),
-            _ => self.disturb(step),
+            Step::Wait { ms } => self.sim.run(Span::from_millis(*ms)),
+            _ => self.inject_fault(step),
         }
-        self.world.run(Span(300));
+        self.sim.run(Span(300));
     }
 
     fn pick(&self, which: usize) -> Option<Known> {
@@ -174,11 +175,11 @@
         let deadline = Span::from_millis(500 + 450 * (number as u64 % 10));
         let work = Work { name: number.to_string(), firm, kind, repeatable, tasks, deadline };
         let token = match name {
-            Name::Token => self.world.process(via).map(|p| p.entry.token()),
-            Name::Home(vm) => self.world.at(vm % self.entries).map(|home| {
-                self.world.process(home).expect("the process is known").entry.own_token()
+            Name::Token => self.sim.process(via).map(|p| p.entry.token()),
+            Name::Home(vm) => self.sim.at(vm % self.entries).map(|home| {
+                self.sim.process(home).expect("the process is known").entry.own_token()
             }),
-            Name::Key => self.world.process(via).map(|p| p.entry.own_token()),
+            Name::Key => self.sim.process(via).map(|p| p.entry.own_token()),
         };
         let Some(token) = token else { return };
         let known = Known { work, id: id(token, number as u64), keyed: name == Name::Key };
@@ -188,139 +189,145 @@
 
     fn resubmit(&mut self, via: Home, known: &Known) {
         if !known.keyed {
-            self.world.submit(via, &known.work, known.id);
+            self.sim.submit(via, &known.work, known.id);
             return;
         }
-        let token = self.world.process(via).expect("the process is known").entry.own_token();
-        let fresh = id(token, self.world.book.calls.len() as u64 + 1_000);
-        self.world.submit_keyed(via, &known.work, fresh);
+        let token = self.sim.process(via).expect("the process is known").entry.own_token();
+        let fresh = id(token, self.sim.checker.calls.len() as u64 + 1_000);
+        self.sim.submit_keyed(via, &known.work, fresh);
     }
 
-    fn disturb(&mut self, step: &Step) {
-        let world = &mut self.world;
+    fn inject_fault(&mut self, step: &Step) {
+        let sim = &mut self.sim;
         match *step {
             Step::Executor { number, mode } => {
-                let executor = world.executors.get_mut(&executor_id(number));
+                let executor = sim.executors.get_mut(&executor_id(number));
                 executor.into_iter().for_each(|executor| executor.mode = mode);
             }
-            Step::Leave { number } => {
-                let executor = world.executors.get_mut(&executor_id(number));
+            Step::ReportLeaving { number } => {
+                let executor = sim.executors.get_mut(&executor_id(number));
                 executor.into_iter().for_each(|executor| executor.leaving = true);
             }
-            Step::List { number } => world.platform.leaving.push(executor_id(number)),
-            Step::Publish => world.publish(),
-            Step::Cut { a, b } if a != b => world.cut(a % self.entries, b % self.entries),
-            Step::Heal { a, b } if a != b => world.heal(a % self.entries, b % self.entries),
-            Step::Blip { a, b } if a != b => {
-                world.drop_connection(a % self.entries, b % self.entries);
-                world.connect_all();
+            Step::ListLeaving { number } => sim.platform.leaving.push(executor_id(number)),
+            Step::Publish => sim.publish(),
+            Step::Partition { a, b } if a != b => sim.partition(a % self.entries, b % self.entries),
+            Step::Heal { a, b } if a != b => sim.heal(a % self.entries, b % self.entries),
+            Step::Reconnect { a, b } if a != b => {
+                sim.drop_connection(a % self.entries, b % self.entries);
+                sim.connect_all();
             }
-            Step::Platform { service } => world.platform.service = service,
+            Step::Platform { service } => sim.platform.service = service,
             Step::Settings { revision, vms } => {
-                let leaving = vec![revision as usize % world.shape.executors];
-                let shape = Shape { leaving, ..world.shape.clone() };
+                let leaving = vec![revision as usize % sim.shape.executors];
+                let shape = Shape { leaving, ..sim.shape.clone() };
                 let some: Vec<_> = (0..self.entries).filter(|vm| vms >> vm & 1 == 1).collect();
-                world.configure(shape, Revision(revision), &some);
+                sim.configure(shape, Revision(revision), &some);
             }
-            _ => self.disturb_entry(step),
+            _ => self.inject_entry_fault(step),
         }
     }
 
-    fn disturb_entry(&mut self, step: &Step) {
+    fn inject_entry_fault(&mut self, step: &Step) {
         match *step {
             Step::Kill { vm } => {
-                let home = self.up(vm).or_else(|| self.in_life(vm, Life::Frozen));
-                home.into_iter().for_each(|home| self.world.kill(home));
+                let home = self.up(vm).or_else(|| self.process_in_state(vm, ProcessState::Paused));
+                home.into_iter().for_each(|home| self.sim.kill(home));
             }
-            Step::Lose { vm } => {
+            Step::RemoveVm { vm } => {
                 let vm = vm % self.entries;
-                if self.world.at(vm).is_none() {
-                    self.world.platform.gone.push(EntryId(vm as u64));
+                if self.sim.at(vm).is_none() {
+                    self.sim.platform.gone.push(EntryId(vm as u64));
                 }
             }
-            // A VM that the list holds again has a new process.
+            // A VM that is on the list again has a new process.
             Step::Boot { vm } if self.up(vm).is_none() => {
                 let vm = vm % self.entries;
-                self.world.platform.gone.retain(|entry| *entry != EntryId(vm as u64));
-                self.world.boot(vm);
+                self.sim.platform.gone.retain(|entry| *entry != EntryId(vm as u64));
+                self.sim.boot(vm);
             }
-            Step::Freeze { vm } => {
-                self.up(vm).into_iter().for_each(|home| self.world.freeze(home));
+            Step::Pause { vm } => {
+                self.up(vm).into_iter().for_each(|home| self.sim.pause(home));
             }
-            Step::Thaw { vm } => {
-                let frozen = self.in_life(vm, Life::Frozen);
-                frozen.into_iter().for_each(|home| self.world.thaw(home));
+            Step::Resume { vm } => {
+                let paused = self.process_in_state(vm, ProcessState::Paused);
+                paused.into_iter().for_each(|home| self.sim.resume(home));
             }
             Step::Drain { vm } => {
                 let home = self.up(vm);
-                home.into_iter().for_each(|home| self.world.tell(home, Event::Drain));
+                home.into_iter().for_each(|home| self.sim.tell(home, Event::Drain));
             }
             _ => {}
         }
     }
 
-    /// All faults end. Nothing stays open, and all capacity can be used again.
+    /// Ends all faults, then checks that nothing stays open and that all capacity can be used
+    /// again.
     pub fn settle(&mut self) {
-        self.mend();
-        self.world.run(Span::from_secs(45));
-        for home in self.world.live() {
-            let entry = &self.world.process(home).expect("the process is known").entry;
+        self.end_faults();
+        self.sim.run(Span::from_secs(45));
+        for home in self.sim.live() {
+            let entry = &self.sim.process(home).expect("the process is known").entry;
             assert_eq!(entry.open_submissions(), 0, "submissions stay open at {home}");
             assert_eq!(entry.overview().routed, 0, "requests stay open at {home}");
         }
-        let unanswered = self.world.book.unanswered();
-        assert!(unanswered.is_none(), "never answered: {unanswered:?}");
+        let unanswered = self.sim.checker.unanswered();
+        assert!(unanswered.is_none(), "a request was never answered: {unanswered:?}");
         self.check_capacity();
     }
 
-    fn mend(&mut self) {
-        let world = &mut self.world;
+    fn end_faults(&mut self) {
+        let sim = &mut self.sim;
         for vm in 0..self.entries {
-            (0..vm).for_each(|other| world.heal(vm, other));
+            (0..vm).for_each(|other| sim.heal(vm, other));
         }
-        let frozen: Vec<_> =
-            world.processes.iter().filter(|p| p.life == Life::Frozen).map(|p| p.home).collect();
-        frozen.into_iter().for_each(|home| world.thaw(home));
-        // Of two processes of one VM the older is ended at last.
-        world.run(Span::from_secs(2));
-        let replaced = world.live().into_iter().filter(|home| world.book.gone.contains(home));
-        replaced.collect::<Vec<_>>().into_iter().for_each(|home| world.kill(home));
-        world.platform.service = Service::Up;
-        world.platform.gone.clear();
-        world.platform.leaving.clear();
-        for executor in world.executors.values_mut() {
+        let paused: Vec<_> = sim
+            .processes
+            .iter()
+            .filter(|p| p.state == ProcessState::Paused)
+            .map(|p| p.home)
+            .collect();
+        paused.into_iter().for_each(|home| sim.resume(home));
+        // Of two processes on one VM the older one ends.
+        sim.run(Span::from_secs(2));
+        let replaced = sim.live().into_iter().filter(|home| sim.checker.gone.contains(home));
+        replaced.collect::<Vec<_>>().into_iter().for_each(|home| sim.kill(home));
+        sim.platform.service = Service::Up;
+        sim.platform.gone.clear();
+        sim.platform.leaving.clear();
+        for executor in sim.executors.values_mut() {
             (executor.mode, executor.leaving) = (Mode::Work, false);
         }
-        // A stop that has begun ends within the longest deadline and the time of a handover.
-        world.run(Span::from_secs(16));
+        // A drain that has begun ends within the longest deadline plus the time limit of a
+        // handover.
+        sim.run(Span::from_secs(16));
         for vm in 0..self.entries {
-            if world.at(vm).is_none() {
-                world.boot(vm);
+            if sim.at(vm).is_none() {
+                sim.boot(vm);
             }
         }
-        world.replace_executors();
-        world.publish();
-        world.run(Span::from_secs(2));
-        world.publish();
+        sim.replace_executors();
+        sim.publish();
+        sim.run(Span::from_secs(2));
+        sim.publish();
     }
 
-    /// Each live entry gets a job through that needs all capacity at one time.
+    /// Checks at each live entry that a job that needs all capacity several times over completes.
     fn check_capacity(&mut self) {
-        let slots = self.world.shape.executors as u32 * self.world.shape.slots;
-        for (number, home) in self.world.live().into_iter().enumerate() {
-            let entry = &self.world.process(home).expect("the process is known").entry;
+        let slots = self.sim.shape.executors as u32 * self.sim.shape.slots;
+        for (number, home) in self.sim.live().into_iter().enumerate() {
+            let entry = &self.sim.process(home).expect("the process is known").entry;
             if entry.is_draining() {
                 continue;
             }
             let work = Work::job(&format!("{} {number}", FIRMS[0]), slots as u16 * 4);
             let work = work.within(Span::from_secs(30));
             let token = entry.own_token();
-            let waiter = self.world.submit(home, &work, id(token, 5_000));
-            self.world.run(Span::from_secs(32));
-            let answer = self.world.book.answer_of(waiter);
+            let waiter = self.sim.submit(home, &work, id(token, 5_000));
+            self.sim.run(Span::from_secs(32));
+            let answer = self.sim.checker.answer_of(waiter);
             assert!(matches!(answer, Some(Answer::Complete(_))), "at {home}: {answer:?}");
         }
-        let usable = self.world.usable();
-        assert!(usable >= slots, "{usable} of {slots} slots are left");
+        let usable = self.sim.usable();
+        assert!(usable >= slots, "only {usable} of {slots} slots are usable");
     }
 }
--- a/components/dispatch/tests/decisions.rs
+++ b/components/dispatch/tests/decisions.rs
@@ -1,10 +1,10 @@
-//! The decision log of a worked scenario, and what follows each end of an attempt.
+//! The decision log of a scenario, and what follows each kind of attempt end.
 
 mod common;
 
 use bytes::Bytes;
 use common::{
-    Mode, Shape, Work, World,
+    Mode, Shape, Simulation, Work,
     executor::output,
     executor_id, firm, id,
     site::{FIRMS, SERVICE, executor_name},
@@ -21,7 +21,7 @@
 };
 use std::fmt::Write;
 
-/// Names in place of identifiers.
+/// Replaces identifiers by names.
 fn readable(text: String) -> String {
     let mut names: Vec<(String, String)> = (0..4)
         .map(|number| (executor_id(number).to_string(), executor_name(number)))
@@ -32,21 +32,21 @@
 }
 
 #[test]
-fn the_log_tells_every_decision_of_a_job_through_failures() {
-    let mut world = World::new(Shape::default(), 2, 2);
-    world.log.clear();
-    world.executors.get_mut(&executor_id(0)).unwrap().mode = Mode::Down;
+fn the_decision_log_contains_every_decision_of_a_job_with_failures() {
+    let mut sim = Simulation::new(Shape::default(), 2, 2);
+    sim.log.clear();
+    sim.executors.get_mut(&executor_id(0)).unwrap().mode = Mode::Down;
     let work = Work::job("a", 3);
-    let id = id(world.entry(0).own_token(), 1);
-    let via = world.at(1).unwrap();
-    world.submit(via, &work, id);
-    world.run(Span::from_millis(80));
-    world.executors.get_mut(&executor_id(1)).unwrap().leaving = true;
-    world.run(Span::from_millis(400));
-    world.cancel(via, &work, id);
-    world.run(Span::from_millis(50));
+    let id = id(sim.entry(0).own_token(), 1);
+    let via = sim.at(1).unwrap();
+    sim.submit(via, &work, id);
+    sim.run(Span::from_millis(80));
+    sim.executors.get_mut(&executor_id(1)).unwrap().leaving = true;
+    sim.run(Span::from_millis(400));
+    sim.cancel(via, &work, id);
+    sim.run(Span::from_millis(50));
     let mut lines = String::new();
-    for (time, home, decision) in &world.log {
+    for (time, home, decision) in &sim.log {
         let json = serde_json::to_string(decision).unwrap();
         writeln!(lines, "{time} entry {}: {json}", home.entry).unwrap();
     }
@@ -73,8 +73,8 @@
     })
 }
 
-/// What follows when the only attempt at a task ends with `reply`.
-fn follows(work: &Work, reply: Reply) -> String {
+/// Returns what follows when the only attempt at a task ends with `reply`.
+fn effect_of(work: &Work, reply: Reply) -> String {
     let entry = entry();
     let mut out = Vec::new();
     let submission = work.submission(id(entry.own_token(), 1));
@@ -88,7 +88,7 @@
     let elapsed = Span::from_millis(50);
     let report = Report { attempt, reply, leaving: false, elapsed };
     entry.handle(Time(50_000), Event::Report(report), &mut out);
-    let said = out.iter().find_map(|action| match action {
+    let effect = out.iter().find_map(|action| match action {
         Action::Start(_) => Some("starts again".into()),
         Action::Answer { answer, .. } => Some(match &**answer {
             Answer::Complete(_) => "answers".into(),
@@ -96,11 +96,11 @@
         }),
         _ => None,
     });
-    said.unwrap_or_else(|| "waits".into())
+    effect.unwrap_or_else(|| "waits".into())
 }
 
 #[test]
-fn only_what_did_not_run_or_may_run_again_is_repeated() {
+fn only_tasks_that_did_not_run_or_are_repeatable_are_retried() {
     let body = Bytes::from_static(b"a");
     let replies = [
         Reply::Done(output(200, &body)),
@@ -123,7 +123,7 @@
         let name = format!("{reply:?}");
         let name = name.split_once(" {").map_or(&*name, |(name, _)| name).replace("(Output", "");
         for (kind, work) in &works {
-            writeln!(table, "{name:18} {kind:18} {}", follows(work, reply.clone())).unwrap();
+            writeln!(table, "{name:18} {kind:18} {}", effect_of(work, reply.clone())).unwrap();
         }
     }
     insta::assert_snapshot!(table);
--- a/components/dispatch/tests/interleave/tests/threads.rs
+++ b/components/dispatch/tests/interleave/tests/threads.rs
@@ -1,4 +1,4 @@
-//! Several threads in one entry, through many interleavings of their locks. Seeds are fixed.
+//! Several threads in one entry, with many interleavings of their locks. Seeds are fixed.
 
 #[path = "../../common/site.rs"]
 #[allow(dead_code, missing_docs, unreachable_pub)]
@@ -26,7 +26,7 @@
 const RUNS: usize = 400;
 const SEED: u64 = 7;
 
-/// Has `scenario` run under many schedules.
+/// Runs `scenario` under many schedules.
 fn explore(scenario: impl Fn() + Send + Sync + Clone + 'static) {
     let random = RandomScheduler::new_from_seed(SEED, RUNS);
     Runner::new(random, Config::new()).run(scenario.clone());
@@ -58,7 +58,7 @@
     out
 }
 
-/// Each thread hands in its events at `now`; the actions of all.
+/// Lets each thread handle its events at `now`. Returns the actions of all.
 fn race(entry: &Arc<Entry>, now: Time, threads: Vec<Vec<Event>>) -> Vec<Action> {
     let spawn = |events: Vec<Event>| {
         let entry = entry.clone();
@@ -77,7 +77,7 @@
     Event::Cancel { waiter: WaiterId(waiter), id, firm: firm(work.firm) }
 }
 
-/// Reports of success for everything that was started.
+/// Returns reports of success for all started tasks.
 fn reports(actions: &[Action]) -> Vec<Event> {
     let report = |action: &Action| match action {
         Action::Start(start) => {
@@ -114,7 +114,7 @@
     matches!(answer, Answer::Failed(Failure { outcome: Outcome::NotRun, .. }))
 }
 
-/// Reports everything that starts until nothing does any more.
+/// Reports success for every started task until no more start.
 fn finish(entry: &Entry, actions: &mut Vec<Action>) {
     let mut next = reports(actions);
     while !next.is_empty() {
@@ -125,8 +125,8 @@
     }
 }
 
-/// Every waiter up to `waiters` has one answer, every task started once, equal ids got equal
-/// answers.
+/// Checks that every waiter up to `waiters` has one answer, that every task started once, and that
+/// equal identifiers got equal answers.
 fn check(actions: &[Action], waiters: u64) {
     assert!(starts(actions).values().all(|count| *count == 1));
     let answers = answers(actions);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_answer_a_cancellation_a_resubmission_and_a_tick_agree() {
+fn concurrent_report_cancellation_resubmission_and_tick_give_equal_answers() {
     explore(|| {
         let entry = entry(&Shape::default());
         let (work, id) = (Work::job("a", 2), id(entry.own_token(), 1));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_cancellation_beside_its_submission_denies_nothing_that_starts() {
+fn a_concurrent_cancellation_does_not_report_not_run_for_a_started_task() {
     explore(|| {
         let entry = entry(&Shape::default());
         let (work, id) = (Work::job("a", 2), id(entry.own_token(), 1));
@@ -180,13 +180,16 @@
         finish(&entry, &mut actions);
         check(&actions, 2);
         let denied = answers(&actions).iter().any(|(.., answer)| is_not_run(answer));
-        assert!(!denied || starts(&actions).is_empty(), "told not to run, and starts");
+        assert!(
+            !denied || starts(&actions).is_empty(),
+            "a task starts although its caller was told that it did not run"
+        );
         assert_eq!(entry.open_submissions(), 0);
     });
 }
 
 #[test]
-fn submissions_reports_and_cancellations_lose_no_slot() {
+fn concurrent_submissions_reports_and_cancellations_lose_no_slot() {
     explore(|| {
         let entry = entry(&Shape { executors: 1, ..Shape::default() });
         let token = entry.own_token();
@@ -199,7 +202,7 @@
             vec![submit(4, &works[2], ids[2]), Event::Tick],
         ];
         actions.extend(race(&entry, Time(50_000), threads));
-        // What was reported already has no second report.
+        // What was already reported has no second report.
         let mut rest = actions.split_off(2.min(actions.len()));
         finish(&entry, &mut rest);
         let after = handle(&entry, Time(70_000), submit(5, &works[3], ids[3]));
@@ -209,20 +212,20 @@
 }
 
 #[test]
-fn nothing_is_admitted_beside_a_stop_once_it_has_ended() {
+fn nothing_is_admitted_after_a_concurrent_drain_has_ended() {
     explore(|| {
         let entry = entry(&Shape::default());
         let (work, id) = (Work::job("a", 2), id(entry.own_token(), 1));
         let threads = vec![vec![submit(1, &work, id)], vec![Event::Drain]];
         let actions = race(&entry, Time(0), threads);
         let exited = actions.iter().any(|action| matches!(action, Action::Exit));
-        assert!(!exited || starts(&actions).is_empty(), "a task starts, and the process ends");
-        assert!(!exited || answers(&actions).len() == 1, "the process ends without an answer");
+        assert!(!exited || starts(&actions).is_empty(), "a task starts although the process exits");
+        assert!(!exited || answers(&actions).len() == 1, "the process exits without an answer");
     });
 }
 
 #[test]
-fn nothing_is_admitted_beside_a_stop_once_the_table_is_handed_over() {
+fn nothing_is_admitted_after_a_concurrent_drain_has_handed_over_the_table() {
     explore(|| {
         let entry = entry(&Shape::default());
         let peer = Home { entry: EntryId(2), incarnation: Incarnation(2), ..entry.home() };
@@ -233,7 +236,10 @@
         let is_handover =
             |action: &Action| matches!(action, Action::Send { message: Message::Handover(_), .. });
         let handed_over = actions.iter().any(is_handover);
-        assert!(!handed_over || answers(&actions).len() == 1, "admitted and not handed over");
+        assert!(
+            !handed_over || answers(&actions).len() == 1,
+            "a submission was admitted and not handed over"
+        );
     });
 }
 
@@ -253,7 +259,7 @@
 }
 
 #[test]
-fn settings_of_two_threads_end_with_the_newer() {
+fn the_newer_of_two_concurrent_settings_wins() {
     explore(|| {
         let shape = Shape::default();
         let entry = entry(&shape);
@@ -269,6 +275,6 @@
             _ => None,
         };
         let used: Vec<_> = actions.iter().filter_map(on).collect();
-        assert_eq!(used, vec![executor_id(0); 2], "settings went back");
+        assert_eq!(used, vec![executor_id(0); 2], "the older settings are in force");
     });
 }
--- a/components/dispatch/tests/machine.rs
+++ b/components/dispatch/tests/machine.rs
@@ -1,11 +1,12 @@
-//! Random runs of the decision logic through faults, held to what must always hold.
+//! Random runs of the decision logic with faults, checked against the invariants in
+//! `common/check.rs`.
 //!
-//! The reference is the world's book of what callers and processes were told and the ledger of the
-//! executors, see `common/check.rs`; each run ends with all faults mended. Seeds are fixed.
+//! The reference is the checker's record of what callers and processes were told, and the
+//! executors' start records; each run ends with all faults repaired. Seeds are fixed.
 
 mod common;
 
-use common::{Mode, Name, Run, Service, Shape, Step, World};
+use common::{Mode, Name, Run, Service, Shape, Simulation, Step};
 use proptest::{
     prelude::*,
     test_runner::{Config, FileFailurePersistence, RngSeed},
@@ -16,7 +17,7 @@
 const ENTRIES: usize = 3;
 const EXECUTORS: usize = 3;
 
-/// Which faults occur in a run.
+/// Bits of the kinds of faults that occur in a run.
 const NONE: u8 = 0;
 const EXECUTOR_FAULTS: u8 = 1;
 const NETWORK: u8 = 2;
@@ -26,7 +27,7 @@
 const SETTINGS: u8 = 32;
 const ALL: u8 = 63;
 
-/// The steps of a run; what must hold needs no more of a model than the world's own book.
+/// The steps of a run. The checker's record serves as the model, so there is no other state.
 struct Steps<const FAULTS: u8>;
 
 fn vm() -> impl Strategy<Value = usize> {
@@ -56,7 +57,7 @@
     let which = 0..8usize;
     prop_oneof![
         5 => submit(),
-        3 => (which.clone(), vm()).prop_map(|(which, vm)| Step::Again { which, vm }),
+        3 => (which.clone(), vm()).prop_map(|(which, vm)| Step::Resubmit { which, vm }),
         1 => (which.clone(), vm()).prop_map(|(which, vm)| Step::Cancel { which, vm }),
         1 => (which, vm(), 0..2usize).prop_map(|(which, vm, firm)| Step::Fetch { which, vm, firm }),
         4 => (1..80u64).prop_map(|ms| Step::Wait { ms }),
@@ -73,14 +74,14 @@
         1 => Just(Mode::Refuse),
         1 => Just(Mode::LoseAnswer),
         1 => Just(Mode::LoseRequest),
-        1 => Just(Mode::Silent),
-        1 => Just(Mode::Mute),
+        1 => Just(Mode::NoResponse),
+        1 => Just(Mode::SilentConnection),
     ];
     let number = 0..EXECUTORS;
     prop_oneof![
         6 => (number.clone(), mode).prop_map(|(number, mode)| Step::Executor { number, mode }),
-        1 => number.clone().prop_map(|number| Step::Leave { number }),
-        1 => number.prop_map(|number| Step::List { number }),
+        1 => number.clone().prop_map(|number| Step::ReportLeaving { number }),
+        1 => number.prop_map(|number| Step::ListLeaving { number }),
         1 => Just(Step::Publish),
     ]
     .boxed()
@@ -88,9 +89,9 @@
 
 fn network() -> BoxedStrategy<Step> {
     prop_oneof![
-        2 => (vm(), vm()).prop_map(|(a, b)| Step::Cut { a, b }),
+        2 => (vm(), vm()).prop_map(|(a, b)| Step::Partition { a, b }),
         2 => (vm(), vm()).prop_map(|(a, b)| Step::Heal { a, b }),
-        2 => (vm(), vm()).prop_map(|(a, b)| Step::Blip { a, b }),
+        2 => (vm(), vm()).prop_map(|(a, b)| Step::Reconnect { a, b }),
     ]
     .boxed()
 }
@@ -98,10 +99,10 @@
 fn processes() -> BoxedStrategy<Step> {
     prop_oneof![
         2 => vm().prop_map(|vm| Step::Kill { vm }),
-        1 => vm().prop_map(|vm| Step::Lose { vm }),
+        1 => vm().prop_map(|vm| Step::RemoveVm { vm }),
         3 => vm().prop_map(|vm| Step::Boot { vm }),
-        2 => vm().prop_map(|vm| Step::Freeze { vm }),
-        3 => vm().prop_map(|vm| Step::Thaw { vm }),
+        2 => vm().prop_map(|vm| Step::Pause { vm }),
+        3 => vm().prop_map(|vm| Step::Resume { vm }),
         1 => Just(Step::Publish),
     ]
     .boxed()
@@ -116,7 +117,8 @@
 }
 
 fn platform() -> BoxedStrategy<Step> {
-    let service = prop_oneof![Just(Service::Up), Just(Service::Out), Just(Service::AnswerLost)];
+    let service =
+        prop_oneof![Just(Service::Up), Just(Service::Unavailable), Just(Service::AnswerLost)];
     let keyed = submit().prop_map(|step| match step {
         Step::Submit { vm, kind, repeatable, tasks, firm, .. } => {
             Step::Submit { vm, name: Name::Key, kind, repeatable, tasks, firm }
@@ -169,7 +171,7 @@
 
     fn init_test(_: &()) -> Run {
         let shape = Shape { executors: EXECUTORS, ..Shape::default() };
-        Run::new(World::new(shape, ENTRIES, 2), ENTRIES)
+        Run::new(Simulation::new(shape, ENTRIES, 2), ENTRIES)
     }
 
     fn apply(mut run: Run, _: &(), step: Step) -> Run {
--- a/components/dispatch/tests/moved.rs
+++ b/components/dispatch/tests/moved.rs
@@ -1,16 +1,17 @@
-//! A repeatable request runs elsewhere only when its home is gone, and nobody denies that it ran.
+//! A repeatable request runs elsewhere only when its home is gone, and no entry then reports it as
+//! not run.
 
 mod common;
 
-use common::{Shape, Work, World, id};
+use common::{Shape, Simulation, Work, id};
 use dispatch::Event;
 use site::{
     submission::{Answer, Failure, Outcome},
     unit::Span,
 };
 
-fn world() -> World {
-    World::new(Shape::default(), 3, 2)
+fn sim() -> Simulation {
+    Simulation::new(Shape::default(), 3, 2)
 }
 
 fn denied(answer: Option<&Answer>) -> bool {
@@ -18,36 +19,36 @@
 }
 
 #[test]
-fn a_new_process_is_not_taken_for_gone_while_the_one_before_is_still_heard() {
-    let mut world = world();
-    let before = world.at(1).unwrap();
-    world.freeze(before);
-    world.boot(1);
+fn a_request_does_not_run_elsewhere_while_its_paused_home_is_not_known_to_be_gone() {
+    let mut sim = sim();
+    let before = sim.at(1).unwrap();
+    sim.pause(before);
+    sim.boot(1);
     let work = Work::single("a", true);
-    let id = id(world.entry(1).own_token(), 1);
-    let via = world.at(2).unwrap();
-    // The book refuses a start at any other than the home, which lives.
-    world.submit(via, &work, id);
-    world.run(Span::from_secs(6));
+    let id = id(sim.entry(1).own_token(), 1);
+    let via = sim.at(2).unwrap();
+    // The checker rejects a start at any entry but the home, which is still live.
+    sim.submit(via, &work, id);
+    sim.run(Span::from_secs(6));
 }
 
 #[test]
-fn a_successor_does_not_deny_what_the_next_process_of_the_stopped_entry_ran() {
-    let mut world = world();
-    let stopped = world.at(0).unwrap();
+fn a_successor_does_not_report_not_run_for_what_the_restarted_entry_ran() {
+    let mut sim = sim();
+    let stopped = sim.at(0).unwrap();
     let work = Work::single("a", true);
-    let id = id(world.entry(0).own_token(), 1);
-    world.tell(stopped, Event::Drain);
-    world.run(Span::from_millis(100));
-    assert!(world.book.exited.contains(&stopped));
-    let next = world.boot(0);
-    world.submit(next, &work, id);
-    world.run(Span::from_secs(1));
-    let ran = !world.ledger.is_empty();
+    let id = id(sim.entry(0).own_token(), 1);
+    sim.tell(stopped, Event::Drain);
+    sim.run(Span::from_millis(100));
+    assert!(sim.checker.exited.contains(&stopped));
+    let next = sim.boot(0);
+    sim.submit(next, &work, id);
+    sim.run(Span::from_secs(1));
+    let ran = !sim.starts.is_empty();
     for vm in [1, 2] {
-        let via = world.at(vm).unwrap();
-        let waiter = world.submit(via, &work, id);
-        world.run(Span::from_secs(6));
-        assert!(!ran || !denied(world.book.answer_of(waiter)));
+        let via = sim.at(vm).unwrap();
+        let waiter = sim.submit(via, &work, id);
+        sim.run(Span::from_secs(6));
+        assert!(!ran || !denied(sim.checker.answer_of(waiter)));
     }
 }
--- a/components/dispatch/tests/retry.rs
+++ b/components/dispatch/tests/retry.rs
@@ -1,8 +1,8 @@
-//! Whether an ended attempt is repeated, and what is said of one that is not.
+//! Which ended attempts are retried, and what is reported for those that are not.
 
 mod common;
 
-use common::{Mode, Shape, Work, World, id};
+use common::{Mode, Shape, Simulation, Work, id};
 use dispatch::Event;
 use site::{
     id::{Home, SubmissionId, WaiterId},
@@ -10,141 +10,141 @@
     unit::Span,
 };
 
-fn world(entries: usize) -> World {
-    World::new(Shape::default(), entries, entries as u32)
+fn sim(entries: usize) -> Simulation {
+    Simulation::new(Shape::default(), entries, entries as u32)
 }
 
-fn set(world: &mut World, mode: Mode) {
-    world.executors.values_mut().for_each(|executor| executor.mode = mode);
+fn set(sim: &mut Simulation, mode: Mode) {
+    sim.executors.values_mut().for_each(|executor| executor.mode = mode);
 }
 
-fn failure(world: &World, waiter: WaiterId) -> Failure {
-    match world.book.answer_of(waiter) {
+fn failure(sim: &Simulation, waiter: WaiterId) -> Failure {
+    match sim.checker.answer_of(waiter) {
         Some(Answer::Failed(failure)) => *failure,
         other => panic!("not failed: {other:?}"),
     }
 }
 
-/// A repeatable request that began at its home, which is then killed and replaced.
-fn orphan(world: &mut World, work: &Work) -> (Home, SubmissionId) {
-    let home = world.at(0).unwrap();
-    let id = id(world.entry(0).own_token(), 1);
-    set(world, Mode::Silent);
-    world.submit(home, work, id);
-    world.run(Span::from_millis(100));
-    assert_eq!(world.ledger.len(), 1);
-    world.kill(home);
-    world.boot(0);
-    world.run(Span::from_secs(4));
+/// Submits a request that begins at its home, then kills and replaces the home.
+fn submit_and_kill_home(sim: &mut Simulation, work: &Work) -> (Home, SubmissionId) {
+    let home = sim.at(0).unwrap();
+    let id = id(sim.entry(0).own_token(), 1);
+    set(sim, Mode::NoResponse);
+    sim.submit(home, work, id);
+    sim.run(Span::from_millis(100));
+    assert_eq!(sim.starts.len(), 1);
+    sim.kill(home);
+    sim.boot(0);
+    sim.run(Span::from_secs(4));
     (home, id)
 }
 
 #[test]
 fn a_repeatable_request_runs_again_elsewhere_once_its_home_is_gone() {
-    let mut world = world(3);
+    let mut sim = sim(3);
     let work = Work::single("a", true);
-    let (_, id) = orphan(&mut world, &work);
-    set(&mut world, Mode::Work);
-    let via = world.at(1).unwrap();
-    let waiter = world.submit(via, &work, id);
-    world.run(Span::from_secs(2));
-    assert!(matches!(world.book.answer_of(waiter), Some(Answer::Complete(_))));
+    let (_, id) = submit_and_kill_home(&mut sim, &work);
+    set(&mut sim, Mode::Work);
+    let via = sim.at(1).unwrap();
+    let waiter = sim.submit(via, &work, id);
+    sim.run(Span::from_secs(2));
+    assert!(matches!(sim.checker.answer_of(waiter), Some(Answer::Complete(_))));
 }
 
 #[test]
-fn a_forwarded_repeatable_request_runs_again_wherever_it_is_sent_once_its_home_is_gone() {
+fn a_forwarded_repeatable_request_runs_again_at_any_entry_once_its_home_is_gone() {
     for unique in 1..=24 {
-        let mut world = world(2);
-        let home = world.at(0).unwrap();
-        let id = id(world.entry(0).own_token(), unique);
-        set(&mut world, Mode::Silent);
-        let via = world.at(1).unwrap();
-        let waiter = world.submit(via, &Work::single("a", true), id);
-        world.run(Span::from_millis(100));
-        world.kill(home);
-        set(&mut world, Mode::Work);
-        world.boot(0);
-        world.run(Span::from_secs(6));
-        let answer = world.book.answer_of(waiter);
+        let mut sim = sim(2);
+        let home = sim.at(0).unwrap();
+        let id = id(sim.entry(0).own_token(), unique);
+        set(&mut sim, Mode::NoResponse);
+        let via = sim.at(1).unwrap();
+        let waiter = sim.submit(via, &Work::single("a", true), id);
+        sim.run(Span::from_millis(100));
+        sim.kill(home);
+        set(&mut sim, Mode::Work);
+        sim.boot(0);
+        sim.run(Span::from_secs(6));
+        let answer = sim.checker.answer_of(waiter);
         assert!(matches!(answer, Some(Answer::Complete(_))), "{unique}: {answer:?}");
     }
 }
 
 #[test]
 fn a_request_that_is_not_repeatable_never_runs_again_elsewhere() {
-    let mut world = world(3);
+    let mut sim = sim(3);
     let work = Work::single("a", false);
-    let (_, id) = orphan(&mut world, &work);
-    set(&mut world, Mode::Work);
-    let via = world.at(1).unwrap();
-    let waiter = world.submit(via, &work, id);
-    world.run(Span::from_secs(6));
-    assert_eq!(failure(&world, waiter).outcome, Outcome::MayHaveRun);
-    assert_eq!(world.ledger.len(), 1);
+    let (_, id) = submit_and_kill_home(&mut sim, &work);
+    set(&mut sim, Mode::Work);
+    let via = sim.at(1).unwrap();
+    let waiter = sim.submit(via, &work, id);
+    sim.run(Span::from_secs(6));
+    assert_eq!(failure(&sim, waiter).outcome, Outcome::MayHaveRun);
+    assert_eq!(sim.starts.len(), 1);
 }
 
 #[test]
-fn a_moved_request_that_is_refused_is_not_said_not_to_have_run() {
-    let mut world = world(3);
+fn a_moved_request_that_is_rejected_is_not_reported_as_not_run() {
+    let mut sim = sim(3);
     let work = Work::single("a", true);
-    let (_, id) = orphan(&mut world, &work);
-    set(&mut world, Mode::Down);
-    let via = world.at(1).unwrap();
-    let waiter = world.submit(via, &work, id);
-    world.run(Span::from_secs(6));
-    assert_eq!(failure(&world, waiter).outcome, Outcome::MayHaveRun);
+    let (_, id) = submit_and_kill_home(&mut sim, &work);
+    set(&mut sim, Mode::Down);
+    let via = sim.at(1).unwrap();
+    let waiter = sim.submit(via, &work, id);
+    sim.run(Span::from_secs(6));
+    assert_eq!(failure(&sim, waiter).outcome, Outcome::MayHaveRun);
 }
 
 #[test]
-fn a_moved_request_that_is_cancelled_in_the_queue_is_not_said_not_to_have_run() {
-    let mut world = world(3);
+fn a_moved_request_that_is_cancelled_in_the_queue_is_not_reported_as_not_run() {
+    let mut sim = sim(3);
     let work = Work::single("a", true);
-    let (_, id) = orphan(&mut world, &work);
-    let via = world.at(1).unwrap();
-    let filler = common::id(world.entry(1).own_token(), 9);
-    world.submit(via, &Work::job("filler", 8), filler);
-    world.run(Span::from_millis(50));
-    world.submit(via, &work, id);
-    world.run(Span::from_millis(50));
-    let waiter = world.cancel(via, &work, id);
-    world.run(Span::from_secs(6));
-    assert_eq!(failure(&world, waiter).outcome, Outcome::MayHaveRun);
+    let (_, id) = submit_and_kill_home(&mut sim, &work);
+    let via = sim.at(1).unwrap();
+    let filler = common::id(sim.entry(1).own_token(), 9);
+    sim.submit(via, &Work::job("filler", 8), filler);
+    sim.run(Span::from_millis(50));
+    sim.submit(via, &work, id);
+    sim.run(Span::from_millis(50));
+    let waiter = sim.cancel(via, &work, id);
+    sim.run(Span::from_secs(6));
+    assert_eq!(failure(&sim, waiter).outcome, Outcome::MayHaveRun);
 }
 
 #[test]
-fn a_moved_request_that_a_stopping_entry_refuses_is_not_said_not_to_have_run() {
-    let mut world = world(2);
+fn a_moved_request_that_a_draining_entry_rejects_is_not_reported_as_not_run() {
+    let mut sim = sim(2);
     let work = Work::single("a", true);
-    let (home, id) = orphan(&mut world, &work);
-    let other = world.at(0).unwrap();
-    world.kill(other);
-    world.run(Span::from_secs(4));
+    let (home, id) = submit_and_kill_home(&mut sim, &work);
+    let other = sim.at(0).unwrap();
+    sim.kill(other);
+    sim.run(Span::from_secs(4));
     let _ = home;
-    let via = world.at(1).unwrap();
-    let filler = common::id(world.entry(1).own_token(), 9);
-    world.submit(via, &Work::job("filler", 1), filler);
-    world.tell(via, Event::Drain);
-    let waiter = world.submit(via, &work, id);
-    world.run(Span::from_secs(8));
-    assert_eq!(failure(&world, waiter).outcome, Outcome::MayHaveRun);
+    let via = sim.at(1).unwrap();
+    let filler = common::id(sim.entry(1).own_token(), 9);
+    sim.submit(via, &Work::job("filler", 1), filler);
+    sim.tell(via, Event::Drain);
+    let waiter = sim.submit(via, &work, id);
+    sim.run(Span::from_secs(8));
+    assert_eq!(failure(&sim, waiter).outcome, Outcome::MayHaveRun);
 }
 
 #[test]
-fn a_home_that_wakes_does_not_deny_what_its_replacement_ran() {
-    let mut world = world(3);
-    let home = world.at(0).unwrap();
+fn a_resumed_home_does_not_report_not_run_for_what_its_replacement_ran() {
+    let mut sim = sim(3);
+    let home = sim.at(0).unwrap();
     let work = Work::single("a", true).within(Span::from_millis(500));
-    let fresh = id(world.entry(0).own_token(), 1);
-    let waiter = world.submit_keyed(home, &work, fresh);
-    world.freeze(home);
-    let next = world.boot(0);
-    let other = id(world.entry(0).own_token(), 2);
-    world.run(Span::from_millis(20));
-    world.submit_keyed(next, &work, other);
-    world.run(Span::from_secs(3));
-    let ran = !world.ledger.is_empty();
-    world.executors.values_mut().for_each(|executor| executor.mode = Mode::Down);
-    world.thaw(home);
-    world.run(Span::from_secs(1));
-    assert!(!ran || failure(&world, waiter).outcome == Outcome::MayHaveRun);
+    let fresh = id(sim.entry(0).own_token(), 1);
+    let waiter = sim.submit_keyed(home, &work, fresh);
+    sim.pause(home);
+    let next = sim.boot(0);
+    let other = id(sim.entry(0).own_token(), 2);
+    sim.run(Span::from_millis(20));
+    sim.submit_keyed(next, &work, other);
+    sim.run(Span::from_secs(3));
+    let ran = !sim.starts.is_empty();
+    sim.executors.values_mut().for_each(|executor| executor.mode = Mode::Down);
+    sim.resume(home);
+    sim.run(Span::from_secs(1));
+    assert!(!ran || failure(&sim, waiter).outcome == Outcome::MayHaveRun);
 }
--- a/components/dispatch/tests/steps.rs
+++ b/components/dispatch/tests/steps.rs
@@ -1,13 +1,13 @@
-//! Smallest runs of the state machine that once showed a fault.
+//! Minimal runs of the state machine that once failed.
 
 mod common;
 
-use common::{Mode, Name, Run, Shape, Step, World};
+use common::{Mode, Name, Run, Shape, Simulation, Step};
 use site::submission::Kind;
 
 fn run(steps: &[Step]) {
     let shape = Shape { executors: 3, ..Shape::default() };
-    let mut run = Run::new(World::new(shape, 3, 2), 3);
+    let mut run = Run::new(Simulation::new(shape, 3, 2), 3);
     steps.iter().for_each(|step| run.apply(step));
     run.settle();
 }
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn a_stopping_home_does_not_deny_what_its_heir_runs() {
+fn a_draining_home_does_not_report_not_run_for_what_its_successor_runs() {
     run(&[
         Step::Drain { vm: 0 },
         submit(0, Name::Key, true, 1),
-        Step::Again { which: 0, vm: 1 },
-        Step::Again { which: 0, vm: 0 },
-        Step::Again { which: 0, vm: 0 },
+        Step::Resubmit { which: 0, vm: 1 },
+        Step::Resubmit { which: 0, vm: 0 },
+        Step::Resubmit { which: 0, vm: 0 },
     ]);
 }
