--- a/components/runner/src/decision_log.rs
+++ b/components/runner/src/decision_log.rs
@@ -88,7 +88,7 @@
             }
             *rate_limit = RateLimit { since: now, ..RateLimit::default() };
         }
-        if is_usual(decision) && rate_limit.written >= LINES_PER_SECOND {
+        if is_routine(decision) && rate_limit.written >= LINES_PER_SECOND {
             rate_limit.left_out += 1;
             return false;
         }
@@ -98,7 +98,7 @@
 }
 
 /// Whether a decision is a routine one that indicates no failure.
-fn is_usual(decision: &Decision) -> bool {
+fn is_routine(decision: &Decision) -> bool {
     match decision {
         Decision::Admit { .. } | Decision::Place { .. } | Decision::Start { .. } => true,
         Decision::Answer { answer, .. } => *answer == "completed",
--- a/components/runs/src/action.rs
+++ b/components/runs/src/action.rs
@@ -341,7 +341,7 @@
     Ready,
     /// The executor was transferred to another entry.
     Yield,
-    /// The executor was used by another entry with a higher token.
+    /// Another entry holds the executor with a higher token.
     Fenced,
     /// The platform no longer lists the executor, or another incarnation responded.
     Gone,
--- a/components/runs/src/clock.rs
+++ b/components/runs/src/clock.rs
@@ -5,7 +5,7 @@
 /// How much slower than this machine's clock another one may run, in thousandths.
 const MAX_SLOWNESS_PER_MILLE: u64 = 20;
 
-/// A time on an executor's monotonic clock, in milliseconds.
+/// A time on an executor's monotonic clock, in milliseconds of that clock.
 pub type RemoteTime = u64;
 
 /// Converts a span on another clock to the longest span that it may last on this machine's clock.
--- a/components/runs/src/home/retry_delays.rs
+++ b/components/runs/src/home/retry_delays.rs
@@ -31,8 +31,8 @@
         let current = self.rejections.filter(|(_, latest)| now.since(*latest) <= OVERLOAD_END);
         let since = current.map_or(now, |(first, _)| first);
         self.rejections = Some((since, now));
-        let lasts = now.since(since).clamp(MIN_DELAY, MAX_SPREAD);
-        MIN_DELAY + Span(hash(job) % lasts.0)
+        let spread = now.since(since).clamp(MIN_DELAY, MAX_SPREAD);
+        MIN_DELAY + Span(hash(job) % spread.0)
     }
 }
 
--- a/components/runs/src/keeper/lease.rs
+++ b/components/runs/src/keeper/lease.rs
@@ -52,7 +52,8 @@
     pub(crate) claim_recipients: Vec<Home>,
     /// No start before this time: the executor refused one for lack of room.
     pub(crate) full_until: Time,
-    /// Whether it starts every task that it is ordered to, so that its capacity has to be enforced here.
+    /// Whether it starts every task that it is ordered to, so that its capacity has to be enforced
+    /// here.
     pub(crate) overcommits: bool,
     /// How many times as long as others it takes for a task.
     pub(crate) slowness: f32,
--- a/components/runs/src/keeper/poll.rs
+++ b/components/runs/src/keeper/poll.rs
@@ -23,7 +23,7 @@
 /// whose responses are lost have begun.
 const START_TIMEOUT_FACTOR: u64 = 3;
 
-/// Consecutive polls without a response after which an executor is logged as `missed_polls`.
+/// Consecutive polls without a response after which an executor is logged as `silent`.
 const SILENT_POLLS: u32 = 2;
 
 impl Keeper {
@@ -235,7 +235,7 @@
         };
     }
 
-    /// Ends, stops and polls whatever is due on an executor.
+    /// Does what is due by time on an executor: ends runs, stops runs and sends polls.
     pub(super) fn tick_runs(&mut self, now: Time, id: EndpointId, out: &mut Vec<Action>) {
         let start_timeout = Span(self.start_grace().0 * START_TIMEOUT_FACTOR);
         let Some(lease) = self.leases.get(&id) else { return };
--- a/components/runs/src/options.rs
+++ b/components/runs/src/options.rs
@@ -69,7 +69,7 @@
     /// Pause before an executor that fenced this entry is claimed again.
     pub fenced_pause: Span,
     /// If a poll is sent this long after a start and the run is not listed, the start counts as
-    /// lost. Above the usual transit time to an executor.
+    /// lost. Above the longest usual transit time to an executor.
     pub start_grace: Span,
     /// A run that takes this many times its estimate is stopped: tasks may hang.
     pub overdue_factor: u64,
--- a/components/runs/src/outdated.rs
+++ b/components/runs/src/outdated.rs
@@ -48,7 +48,7 @@
         let mut recipients = Vec::new();
         for peer in outdated {
             let lag = now.since(*self.since.entry(peer).or_insert(now));
-            if lag >= STORE_TIMEOUT && precede(me, &up_to_date, peer) < senders(lag) {
+            if lag >= STORE_TIMEOUT && preceding(me, &up_to_date, peer) < senders(lag) {
                 recipients.push(peer);
             }
         }
@@ -63,7 +63,7 @@
 }
 
 /// Number of up-to-date entries that precede this one, in an order that differs between peers.
-fn precede(me: Home, up_to_date: &[Home], peer: Home) -> usize {
+fn preceding(me: Home, up_to_date: &[Home], peer: Home) -> usize {
     let own = rendezvous::rank(me, peer.entry.0);
     up_to_date.iter().filter(|home| rendezvous::rank(**home, peer.entry.0) < own).count()
 }
--- a/components/runs/src/reports.rs
+++ b/components/runs/src/reports.rs
@@ -1,7 +1,7 @@
 //! Decides which peers get a report of this entry's room and load, and when.
 //!
-//! A report costs sender and receiver processor time, so frequent ones go to few peers: those whose
-//! jobs wait get each change at once, those near this entry somewhat later, the others rarely.
+//! A report costs sender and receiver processor time, so frequent ones go to few peers: those with
+//! pending tasks get each change at once, those near this entry somewhat later, the others rarely.
 
 use crate::{Options, message::Report, options::Supply};
 use rustc_hash::FxHashSet;
--- a/components/runs/tests/outdated_peers.rs
+++ b/components/runs/tests/outdated_peers.rs
@@ -23,8 +23,8 @@
     entry.handle(now, Event::Message { from, message }, &mut Vec::new());
 }
 
-/// The up-to-date entries of a connected site. The entries after the first `up_to_date` have an older
-/// configuration.
+/// The up-to-date entries of a connected site. The entries after the first `up_to_date` have an
+/// older configuration.
 fn site(up_to_date: usize) -> Vec<Entry> {
     let homes = homes();
     let entry = |me: &Home| {
