--- a/components/dispatch/src/action.rs
+++ b/components/dispatch/src/action.rs
@@ -150,7 +150,7 @@
         source: Source,
         /// Number of tasks still queued.
         queued: u32,
-        /// Free slots of the pool at this entry after the placement.
+        /// Free slots of the open endpoints that this entry may use, after the placement.
         candidates: u32,
     },
     /// An attempt ended without an output for its task.
--- a/components/dispatch/src/entry/drain.rs
+++ b/components/dispatch/src/entry/drain.rs
@@ -37,7 +37,7 @@
     Remote(Home),
     /// At the home, which can't be reached now.
     Unreachable,
-    /// Lost: the home is gone without a successor.
+    /// Lost: the home, or the entry that took its table over, is gone.
     Gone,
 }
 
--- a/components/dispatch/src/entry/forwarded.rs
+++ b/components/dispatch/src/entry/forwarded.rs
@@ -88,7 +88,8 @@
 pub(super) struct ForwardedRequests {
     last_id: RequestId,
     open: FxHashMap<RequestId, ForwardedRequest>,
-    /// Requests by the entry that they were forwarded to.
+    /// Requests by the entry that they were forwarded to, to find those that a change of that entry
+    /// affects.
     pub(super) by_home: FxHashMap<Home, BTreeSet<RequestId>>,
     /// Requests by caller.
     by_waiter: FxHashMap<WaiterId, RequestId>,
--- a/components/dispatch/src/entry/handovers.rs
+++ b/components/dispatch/src/entry/handovers.rs
@@ -73,7 +73,7 @@
         self.successors.get(&home).copied()
     }
 
-    /// Returns up to `most` homes whose tables this entry holds, latest first.
+    /// Returns up to `limit` homes whose tables this entry holds, latest first.
     pub(super) fn held_homes(&self, limit: usize) -> Vec<Home> {
         self.held.iter().rev().take(limit).map(|(_, table)| table.home).collect()
     }
--- a/components/dispatch/src/entry/pools.rs
+++ b/components/dispatch/src/entry/pools.rs
@@ -124,7 +124,7 @@
         out: &mut Vec<Action>,
     ) {
         let key = match &message {
-            Message::CapacityRequest(want) => want.service,
+            Message::CapacityRequest(request) => request.service,
             Message::Lend(lend) => lend.service,
             Message::Return(back) | Message::InUse(back) => back.service,
             Message::Usage(usage) => usage.service,
@@ -135,7 +135,7 @@
         };
         let mut pool = pool.lock();
         match message {
-            Message::CapacityRequest(want) => pool.receive_request(now, from, want, out),
+            Message::CapacityRequest(request) => pool.receive_request(now, from, request, out),
             Message::Lend(lend) => pool.borrow(now, from, lend, out),
             Message::Return(back) => pool.reclaim(now, from, &back.grants, out),
             Message::InUse(back) => pool.record_lent(now, from, &back.grants, out),
--- a/components/dispatch/src/message.rs
+++ b/components/dispatch/src/message.rs
@@ -202,7 +202,7 @@
 pub struct HomeTable {
     /// Home that the table belonged to at first.
     pub home: Home,
-    /// First epoch from which on the table is complete.
+    /// First epoch for which the table is complete.
     pub first_epoch: u32,
 }
 
--- a/components/dispatch/src/pool/admit.rs
+++ b/components/dispatch/src/pool/admit.rs
@@ -168,8 +168,8 @@
             true => held + local.saturating_sub(held) / 2,
             false => held.max(self.target(needs)),
         };
-        // Lent capacity is returned, so at least one task can run wherever the cluster has room for
-        // one.
+        // Lent capacity is returned, so at least one task is expected to run if the whole capacity
+        // of the cluster can hold one.
         expected.max(local.min(1))
     }
 
--- a/components/dispatch/src/pool/lend.rs
+++ b/components/dispatch/src/pool/lend.rs
@@ -127,7 +127,8 @@
         neediest.map(|(home, peer)| (*home, peer.request.needs))
     }
 
-    /// Returns all idle borrowed capacity if this entry keeps no endpoints and has nothing queued.
+    /// Returns all idle borrowed capacity if this entry has nothing queued and keeps no endpoints of
+    /// the pool, since it then places the pool's tasks only as an exception.
     fn return_idle(&mut self, now: Time) {
         if !self.share.kept.is_empty() || !self.queue.is_empty() || self.share.borrowed.is_empty() {
             return;
@@ -229,8 +230,8 @@
             out.push(Action::Send { to, message: Message::Lend(Lend { service, grants }) });
         }
         for (to, grants) in outbox.give_back {
-            let giveback = ServiceGrants { service, grants };
-            out.push(Action::Send { to, message: Message::Return(giveback) });
+            let returned = ServiceGrants { service, grants };
+            out.push(Action::Send { to, message: Message::Return(returned) });
         }
     }
 }
--- a/components/dispatch/src/pool/mod.rs
+++ b/components/dispatch/src/pool/mod.rs
@@ -128,7 +128,7 @@
     reported_leaving: FxHashSet<EndpointId>,
     /// Endpoints that are leaving according to the platform's list.
     listed_leaving: FxHashSet<EndpointId>,
-    /// Slowdown factors of slow endpoints: actual run time divided by the expected one.
+    /// Slowdown factors of slow endpoints: tasks take this many times as long as at the others.
     slow_factors: FxHashMap<EndpointId, f32>,
     /// Endpoints on trial, with the time of the latest trial, or the time since which they have
     /// been waiting for one.
--- a/components/dispatch/src/pool/schedule.rs
+++ b/components/dispatch/src/pool/schedule.rs
@@ -101,8 +101,8 @@
         let Some(factor) = self.slow_factors.get(&endpoint) else {
             return true;
         };
-        // When all usable endpoints are slow, no faster one will become free, or the estimate is
-        // wrong.
+        // When all usable endpoints count as slow, there is no faster one to wait for: either all
+        // of them are slow or the estimate is wrong.
         if self.slow_factors.len() >= self.share.usable_by_endpoint.len() {
             return true;
         }
--- a/components/dispatch/tests/moved.rs
+++ b/components/dispatch/tests/moved.rs
@@ -18,6 +18,8 @@
     matches!(answer, Some(Answer::Failed(Failure { outcome: Outcome::NotRun, .. })))
 }
 
+/// The home of the request is a new process on the VM of a paused one. It must not be considered
+/// gone because messages of the paused process arrived until a moment ago.
 #[test]
 fn a_request_does_not_run_elsewhere_while_its_paused_home_is_not_known_to_be_gone() {
     let mut sim = sim();
--- a/components/fairness/src/virtual_time.rs
+++ b/components/fairness/src/virtual_time.rs
@@ -5,8 +5,8 @@
 /// Number of virtual ticks for one microsecond of service at weight 1.
 const TICKS_PER_MICROSECOND: u64 = 8;
 
-/// A point in or a length of virtual time. Saturates when a firm of weight 1 has used 170,000 slots
-/// without a break for 156 days; from then on firms are served in any order.
+/// A point in virtual time or a length of it. Saturates when a firm of weight 1 has used 170,000
+/// slots without a break for 156 days; from then on firms are served in any order.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct VirtualTime(u64);
 
--- a/components/health/src/record.rs
+++ b/components/health/src/record.rs
@@ -31,7 +31,8 @@
     /// Attempts that were granted and whose outcome is not yet recorded.
     pub(crate) in_flight: u32,
     pub(crate) score: Score,
-    /// Whether an attempt has succeeded since the endpoint was added or last isolated.
+    /// Whether an attempt has succeeded since the endpoint was added or last restored after an
+    /// isolation. Successful probes do not count.
     pub(crate) has_succeeded: bool,
     pub(crate) last_success: Option<Time>,
     pub(crate) last_failure: Time,
--- a/components/health/src/speed.rs
+++ b/components/health/src/speed.rs
@@ -12,8 +12,8 @@
 const NORMAL_FACTOR: f32 = 1.25;
 /// Minimum ratio between two reported factors.
 const MIN_REPORT_RATIO: f32 = 1.3;
-/// Maximum step by which one observation moves the median of all endpoints, in octaves; the first
-/// observations move it further.
+/// Limit, in octaves, by which one observation moves the median of all endpoints. The first
+/// observations may move it further.
 const FLEET_STEP_OCTAVES: f32 = 0.01;
 
 /// Running median, over all endpoints, of the ratio of elapsed to expected time, in octaves.
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -6,8 +6,8 @@
 //! How a status is derived:
 //!
 //! * A home is [`Status::Live`] while messages from it arrive. Any message counts.
-//! * Without a message for [`Options::suspect_after`] it is [`Status::Unreachable`], but not gone. A
-//!   lost connection alone changes nothing.
+//! * Without a message for [`Options::suspect_after`] it is [`Status::Unreachable`], but not gone.
+//!   A lost connection alone changes nothing.
 //! * Absence from the platform's registry proves nothing, since a registration may expire while its
 //!   process runs. Presence proves that a home existed.
 //! * A home is [`Status::Gone`] when it is unresponsive and either a message of another process of
--- a/components/membership/src/rendezvous.rs
+++ b/components/membership/src/rendezvous.rs
@@ -29,7 +29,7 @@
 
 /// Returns a score that is the highest of all homes with probability proportional to the weight.
 fn weighted_score(home: Home, weight: Weight, endpoint: EndpointId) -> f64 {
-    // Above 0 and at most 1, since the division may round up.
+    // Above 0 and at most 1, since the conversion to `f64` may round up.
     let fraction = (score(home, endpoint) as f64 + 0.5) / 2f64.powi(64);
     f64::from(weight.0) / -fraction.ln().min(-f64::MIN_POSITIVE)
 }
--- a/components/membership/src/view/mod.rs
+++ b/components/membership/src/view/mod.rs
@@ -199,8 +199,8 @@
     /// returns peers starts the next interval.
     ///
     /// These are all peers of the own data centre and a few of each other one, see
-    /// [`rendezvous::heartbeat_pairs`]. Unresponsive peers are included, so that the view notices their
-    /// return.
+    /// [`rendezvous::heartbeat_pairs`]. Unresponsive peers are included, so that the view notices
+    /// when they respond again.
     pub fn due_heartbeats(&mut self, now: Time) -> Vec<Home> {
         self.advance(now);
         if now < self.next_heartbeat {
