--- a/components/client/src/client.rs
+++ b/components/client/src/client.rs
@@ -27,7 +27,7 @@
 /// Client that submits work through any of several entries.
 #[derive(Debug)]
 pub struct Client {
-    /// KnownEntry entries, at least one.
+    /// Known entries; at least one.
     entries: Vec<KnownEntry>,
     connections: Connections,
     /// Index of the entry that the next submission or query starts with, modulo their number.
--- a/components/client/src/error.rs
+++ b/components/client/src/error.rs
@@ -53,7 +53,7 @@
     #[display("no entry answers: check the addresses and that the entries run")]
     Unreachable,
     /// A response does not have the format of an entry's.
-    #[display("an answer with status {status} is not understood: is this address an entry's?")]
+    #[display("the response with status {status} is not an entry's: check the address")]
     Malformed {
         /// HTTP status of the response.
         status: u16,
--- a/components/console/src/table.rs
+++ b/components/console/src/table.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Separator of columns.
-const GAP: &str = "  ";
+const COLUMN_SEPARATOR: &str = "  ";
 
 /// Table with a header, printed in aligned columns.
 #[derive(Clone, Debug, Default)]
@@ -36,7 +36,7 @@
         let widths: Vec<usize> = (0..self.rows[0].len()).map(|at| self.width(at)).collect();
         for row in &self.rows {
             let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
-            let line = cells.collect::<Vec<_>>().join(GAP);
+            let line = cells.collect::<Vec<_>>().join(COLUMN_SEPARATOR);
             writeln!(f, "{}", line.trim_end())?;
         }
         Ok(())
--- a/components/endpoint/tests/replies.rs
+++ b/components/endpoint/tests/replies.rs
@@ -14,7 +14,7 @@
 }
 
 /// A task that runs longer than a test.
-const LONG: &str = r#"{"ms": 60000}"#;
+const LONG_TASK: &str = r#"{"ms": 60000}"#;
 
 #[test]
 fn a_complete_response_is_done() {
@@ -68,7 +68,7 @@
     block_on(async {
         let executor = executor(one_slot());
         let client = client(Options::default());
-        let held = client.call(call(executor.address(), LONG));
+        let held = client.call(call(executor.address(), LONG_TASK));
         let refused = async {
             assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             client.call(call(executor.address(), "")).await
@@ -107,7 +107,7 @@
         let executor = executor(executor::Options::default());
         let client = client(Options::default());
         let one = |body| Call { connections: 1, ..call(executor.address(), body) };
-        let held = client.call(one(LONG));
+        let held = client.call(one(LONG_TASK));
         let waiting = async {
             assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             client.call(Call { time_limit: Span::from_millis(20), ..one("") }).await
@@ -159,7 +159,7 @@
     block_on(async {
         let executor = executor(executor::Options::default());
         let client = client(Options::default());
-        let held = client.call(call(executor.address(), LONG));
+        let held = client.call(call(executor.address(), LONG_TASK));
         let death = async {
             assert!(executor.ledger().wait(Step::Start, 1, TIMEOUT).await);
             executor.kill().await;
@@ -183,7 +183,8 @@
 fn a_request_that_runs_too_long_has_timed_out() {
     block_on(async {
         let executor = executor(executor::Options::default());
-        let call = Call { time_limit: Span::from_millis(100), ..call(executor.address(), LONG) };
+        let call =
+            Call { time_limit: Span::from_millis(100), ..call(executor.address(), LONG_TASK) };
         let report = client(Options::default()).call(call).await;
         assert_eq!(report.reply, Reply::TimedOut);
         assert!(report.elapsed >= Span::from_millis(100));
--- a/components/endpoint/tests/worker.rs
+++ b/components/endpoint/tests/worker.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// A task that runs until it is stopped.
-const LONG: &str = r#"{"ms": 60000}"#;
+const LONG_TASK: &str = r#"{"ms": 60000}"#;
 
 /// Options with which leases are renewed every 200 ms.
 fn quick_renewals() -> Options {
@@ -57,7 +57,7 @@
     block_on(async {
         let worker = worker(frequent_usage());
         let client = client(quick_renewals());
-        let call = worker_call(worker.address(), LONG);
+        let call = worker_call(worker.address(), LONG_TASK);
         let started = worker.ledger().wait(Step::Start, 1, TIMEOUT);
         let abandoned = async {
             client.call(call).await;
@@ -86,7 +86,7 @@
     block_on(async {
         let worker = worker(frequent_usage());
         let client = client(quick_renewals());
-        let call = worker_call(worker.address(), LONG);
+        let call = worker_call(worker.address(), LONG_TASK);
         let stop = client.stop(worker.address(), call.attempt);
         let (reply, stop) = call_and(&client, &worker, &call, stop).await;
         assert_eq!(stop, Stop::Stopped);
@@ -100,7 +100,7 @@
     block_on(async {
         let worker = worker(frequent_usage());
         let client = client(quick_renewals());
-        let call = worker_call(worker.address(), LONG);
+        let call = worker_call(worker.address(), LONG_TASK);
         assert_eq!(client.stop(worker.address(), call.attempt).await, Stop::NeverRuns);
         let reply = client.call(call).await.reply;
         assert!(matches!(reply, Reply::Refused { reason: Refusal::Other, .. }), "{reply:?}");
@@ -123,7 +123,7 @@
     block_on(async {
         let worker = worker(frequent_usage());
         let needs = Resources { memory: Memory(33 << 30), ..Resources::default() };
-        let call = Call { needs, ..worker_call(worker.address(), LONG) };
+        let call = Call { needs, ..worker_call(worker.address(), LONG_TASK) };
         let reply = client(quick_renewals()).call(call).await.reply;
         assert!(matches!(reply, Reply::Refused { reason: Refusal::Busy, .. }), "{reply:?}");
     });
--- a/components/entry/benches/spread/deployment.rs
+++ b/components/entry/benches/spread/deployment.rs
@@ -54,11 +54,14 @@
             DATA_CENTRES.iter().flat_map(|data_centre| (0..count).map(move |i| (*data_centre, i)))
         {
             let name = format!("{data_centre}-{index}");
-            let pair = authority.issue(EntryId::of(&name), ENTRY_LIFETIME).expect("it is right");
+            let pair = authority
+                .issue(EntryId::of(&name), ENTRY_LIFETIME)
+                .expect("a certificate can be issued");
             let ca = &authority.pair.certificate;
             let setup = Setup {
                 daemon: daemon(&name, data_centre, deployment.platform.address()),
-                identity: Identity::from_pem(ca, &pair.certificate, &pair.key).expect("it fits"),
+                identity: Identity::from_pem(ca, &pair.certificate, &pair.key)
+                    .expect("the identity is valid"),
                 certificate: settings::digest(pair.certificate.as_bytes()),
                 files: Files::new(),
                 log: log.clone(),
@@ -141,7 +144,7 @@
         "platform": [platform],
         "tls": { "key": "", "certificate": "", "authority": "" },
     });
-    Daemon::parse(name.into(), text.to_string().into()).expect("it is right")
+    Daemon::parse(name.into(), text.to_string().into()).expect("the settings are valid")
 }
 
 /// Loopback address with a port that the system chooses.
--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -56,13 +56,13 @@
 /// Commits the claims that an engine requests. Returns once the engine is dropped.
 pub(crate) async fn run(engine: Arc<Engine>, store: Arc<dyn Store>) {
     let requests = engine.claims();
-    let budget = Arc::new(RateLimiter::new(WRITES_PER_SECOND, WRITE_BURST));
+    let limiter = Arc::new(RateLimiter::new(WRITES_PER_SECOND, WRITE_BURST));
     while let Ok(first) = requests.recv().await {
         Timer::after(ROUND_DELAY).await;
         let round = collect_round(first, &requests);
         for (batch, requests) in batches(round) {
             let commit = Commit { engine: engine.clone(), store: store.clone(), batch, requests };
-            crate::spawn::spawn(commit.run(budget.clone()));
+            crate::spawn::spawn(commit.run(limiter.clone()));
         }
     }
 }
@@ -103,19 +103,19 @@
 }
 
 impl Commit {
-    async fn run(self, budget: Arc<RateLimiter>) {
+    async fn run(self, limiter: Arc<RateLimiter>) {
         let late = async {
             Timer::after(Duration::from_micros(self.time_left().0)).await;
             tracing::warn!(claims = self.requests.len(), "claims not settled in time");
             self.fail();
         };
-        self.commit(budget).or(late).await;
+        self.commit(limiter).or(late).await;
     }
 
-    async fn commit(&self, budget: Arc<RateLimiter>) {
+    async fn commit(&self, limiter: Arc<RateLimiter>) {
         loop {
             failpoint!("before-claim");
-            let committed = self.batch.commit(&*self.store, &budget, self.now()).await;
+            let committed = self.batch.commit(&*self.store, &limiter, self.now()).await;
             failpoint!("after-claim");
             match committed {
                 Ok(winners) => return self.settle(&winners),
--- a/components/entry/src/config.rs
+++ b/components/entry/src/config.rs
@@ -200,7 +200,7 @@
             }
             replica.relay_messages(self.engine.clock().now())
         };
-        tracing::info!(%revision, relays = relays.len(), "settings found");
+        tracing::info!(%revision, relays = relays.len(), "newer settings read from the platform");
         self.trigger_apply();
         for (peer, part) in relays {
             self.engine.send(peer, Message::Settings(part));
--- a/components/entry/src/main.rs
+++ b/components/entry/src/main.rs
@@ -89,7 +89,9 @@
             process.close().await;
             tracing::info!("stopped");
         }
-        false => tracing::error!("the stop took longer than its limit; what is open is cut"),
+        false => {
+            tracing::error!("the stop took longer than its limit; unfinished requests are aborted")
+        }
     }
     Ok(in_time)
 }
--- a/components/entry/src/parts.rs
+++ b/components/entry/src/parts.rs
@@ -13,17 +13,17 @@
 pub const MAX_PART_BYTES: usize = 256 << 10;
 
 /// Upper bound of the encoding overhead of a file or name, in bytes.
-const OVERHEAD: usize = 16;
+const ITEM_OVERHEAD_BYTES: usize = 16;
 
 /// Splits a delta into one or more parts, in the order in which they must be sent.
 pub fn split(delta: Delta) -> Vec<Settings> {
     let mut splitter = Splitter::default();
     for (name, text) in delta.files {
-        splitter.make_room(name.len() + text.len() + OVERHEAD);
+        splitter.make_room(name.len() + text.len() + ITEM_OVERHEAD_BYTES);
         splitter.open.files.push((name.into(), text.into()));
     }
     for name in delta.removed {
-        splitter.make_room(name.len() + OVERHEAD);
+        splitter.make_room(name.len() + ITEM_OVERHEAD_BYTES);
         splitter.open.removed.push(name.into());
     }
     let mut parts = splitter.full;
--- a/components/entry/tests/leaving.rs
+++ b/components/entry/tests/leaving.rs
@@ -23,7 +23,7 @@
 const PATH: &str = "/v1/requests/templating";
 
 /// Size of an answer so that two do not fit into one part of a handover.
-const LARGE: usize = 400 << 10;
+const LARGE_ANSWER_BYTES: usize = 400 << 10;
 
 /// Number of concurrent requests to each entry; exceeds the executors' slots.
 const LOAD: usize = 40;
@@ -89,7 +89,7 @@
         for _ in 0..2 {
             let id = SubmissionId { unique: Uuid::new_v4(), ..id };
             let mut call = Call::new(Kind::NotRepeatable, Name::Id, id);
-            call.body = json!({"ms": 1, "echo": "a".repeat(LARGE)}).to_string();
+            call.body = json!({"ms": 1, "echo": "a".repeat(LARGE_ANSWER_BYTES)}).to_string();
             let reply = call.send_at(home.http).await.unwrap();
             assert_eq!(reply.status, 200, "{reply:?}");
             calls.push(call);
--- a/components/platform/src/manifest/mod.rs
+++ b/components/platform/src/manifest/mod.rs
@@ -31,7 +31,7 @@
 
 /// Number of accepted changes in a manifest's history, so that the result of a change whose
 /// response was lost can be found after further changes.
-const HISTORY: usize = 64;
+const MAX_HISTORY_CHANGES: usize = 64;
 
 /// Maximum size of the manifest and of a file, in bytes: the maximum value size of the store.
 pub const VALUE_LIMIT: usize = 1 << 20;
@@ -92,7 +92,7 @@
         let revision = self.revision + Revision(1);
         let mut recent = self.recent.clone();
         recent.push_back(Accepted { revision, change });
-        while recent.len() > HISTORY {
+        while recent.len() > MAX_HISTORY_CHANGES {
             recent.pop_front();
         }
         Manifest { revision, change, files, recent }
--- a/components/server/src/backend.rs
+++ b/components/server/src/backend.rs
@@ -1,4 +1,4 @@
-//! Api between the HTTP API and the rest of the process.
+//! Interface between the HTTP API and the rest of the process.
 
 use async_trait::async_trait;
 use compact_str::CompactString;
--- a/components/server/src/handler/jobs.rs
+++ b/components/server/src/handler/jobs.rs
@@ -35,7 +35,7 @@
     /// Handles the submission of a job.
     pub(super) async fn submit(&self, conn: &mut Conn) -> Reply {
         let mut prior = match header::prior(conn.request_headers()) {
-            Prior::None if claims_first(conn) => Prior::None,
+            Prior::None if states_first(conn) => Prior::None,
             // Until the body is read, it may identify a submission.
             _ => Prior::Possible,
         };
@@ -206,7 +206,7 @@
     Reply::failure(&failure, Some(id))
 }
 
-fn claims_first(conn: &Conn) -> bool {
+fn states_first(conn: &Conn) -> bool {
     conn.request_headers().get_str(header::FIRST) == Some("true")
 }
 
--- a/components/server/tests/rejections.rs
+++ b/components/server/tests/rejections.rs
@@ -225,7 +225,7 @@
     server.submission();
     // Another caller exceeds the limit later than this one would have.
     assert_eq!(server.raw(b"G", false).problem().1, "slow-head");
-    assert!(server.seen.try_recv().is_err(), "the first caller was given up");
+    assert!(server.seen.try_recv().is_err(), "the waiting caller timed out");
     drop(stream);
     assert!(matches!(server.seen.recv().unwrap(), BackendEvent::Abandoned));
 }
--- a/components/settings/src/range.rs
+++ b/components/settings/src/range.rs
@@ -23,7 +23,7 @@
     /// The name is not of the form `{first..last}`.
     #[display("`{text}` is not a numbered name")]
     Form {
-        /// The name.
+        /// The name in the settings.
         text: CompactString,
     },
     /// The last number is below the first, or there are too many.
@@ -34,10 +34,10 @@
         /// The last number.
         last: u32,
     },
-    /// A `{...}` in a text is not understood.
+    /// A `{...}` in a string is not a valid template.
     #[display("`{text}` is not a valid template")]
     Template {
-        /// The text.
+        /// The string.
         text: CompactString,
     },
     /// An address can't be increased that far.
--- a/components/settings/src/report/quantity.rs
+++ b/components/settings/src/report/quantity.rs
@@ -4,7 +4,8 @@
 use site::unit::{Cores, Memory, ParseError, Span};
 use std::str::FromStr;
 
-/// Input for which the parser of every quantity has_unit_error its units.
+/// Input with an unknown unit, for which the parser of every quantity returns an error that lists
+/// its units.
 const PROBE: &str = "1?";
 
 /// A kind of quantity.
--- a/components/settings/src/report/reason.rs
+++ b/components/settings/src/report/reason.rs
@@ -48,31 +48,31 @@
     /// A string is too long.
     #[display("text of {bytes} bytes, more than {MAX_TEXT_BYTES}")]
     LongText {
-        /// Its size.
+        /// Size of the string in bytes.
         bytes: usize,
     },
     /// The file is not valid JSON.
     #[display("not JSON: {detail}")]
     Syntax {
-        /// What the JSON library says.
+        /// Error message of the JSON parser.
         detail: CompactString,
     },
     /// An object contains a key twice.
     #[display("key given twice: {detail}")]
     DuplicateKey {
-        /// What the JSON library says.
+        /// Error message of the JSON parser.
         detail: CompactString,
     },
     /// The top level has a member that is not a section.
     #[display("unknown section `{name}`")]
     UnknownSection {
-        /// Its name.
+        /// Name of the member.
         name: CompactString,
     },
     /// An object has a member that is not a field of its type.
     #[display("unknown field `{field}`")]
     UnknownField {
-        /// Its name.
+        /// Name of the member.
         field: CompactString,
         /// The fields of the type.
         expected: Vec<CompactString>,
@@ -80,7 +80,7 @@
     /// An object lacks a member that has no default.
     #[display("field `{field}` is missing")]
     MissingField {
-        /// Its name.
+        /// Name of the missing field.
         field: CompactString,
     },
     /// A value is of the wrong type.
@@ -111,7 +111,7 @@
     /// A string is not one of the choices.
     #[display("`{value}` is not one of the choices")]
     Choice {
-        /// The text.
+        /// The string.
         value: CompactString,
         /// The choices.
         expected: Vec<CompactString>,
@@ -119,7 +119,7 @@
     /// A name is empty, too long or holds other characters than letters, digits, `-`, `_`, `.`.
     #[display("`{name}` is not a valid name")]
     Name {
-        /// The text.
+        /// The rejected name.
         name: CompactString,
     },
     /// A numbered name or a template in its object can't be expanded.
@@ -131,7 +131,7 @@
     /// Two keys of one file expand to the same object.
     #[display("`{name}` is given twice in this file")]
     Overlap {
-        /// The object.
+        /// Name of the object.
         name: CompactString,
     },
     /// A `null` refers to a member that does not exist.
@@ -165,19 +165,19 @@
     /// Two objects share an address.
     #[display("the address is also that of `{other}`")]
     Address {
-        /// The other one.
+        /// Path of the other object.
         other: Path,
     },
     /// An executor and a worker share a name.
     #[display("the name is also that of `{other}`")]
     SharedName {
-        /// The other one.
+        /// Path of the other object.
         other: Path,
     },
     /// The identifiers of two names are equal.
     #[display("the name has the same identifier as `{other}`")]
     Collision {
-        /// The other one.
+        /// The other name.
         other: CompactString,
     },
     /// A rack is in two data centres.
@@ -197,13 +197,13 @@
     /// Two links join the same pair of data centres.
     #[display("joins the same data centres as `{other}`")]
     LinkTwin {
-        /// The other one.
+        /// Path of the other link.
         other: Path,
     },
     /// Two contracts are for the same firm and service.
     #[display("is for the same firm and service as `{other}`")]
     ContractTwin {
-        /// The other one.
+        /// Path of the other contract.
         other: Path,
     },
     /// A string is not the digest of a key.
@@ -212,7 +212,7 @@
     /// Two objects share a key.
     #[display("the key is also that of `{other}`")]
     SharedKey {
-        /// The other one.
+        /// Path of the digest in the other object.
         other: Path,
     },
     /// A quota is larger than the slots of the service's executors.
--- a/components/site/src/unit.rs
+++ b/components/site/src/unit.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes a whole number in the largest unit that allows one.
+/// Writes a whole number with the largest of the units s, ms and us that allows one.
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
--- a/components/telemetry/src/log.rs
+++ b/components/telemetry/src/log.rs
@@ -23,7 +23,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Maximum number of lines that are queued for the writer.
-const CAPACITY: usize = 16 * 1024;
+const QUEUE_CAPACITY: usize = 16 * 1024;
 
 /// Pause of the writer between batches. During the pause, sending a line wakes no thread, and the
 /// lines of a batch share one write.
@@ -96,7 +96,7 @@
 
 /// Starts the writer thread on `output`.
 pub fn start(output: impl Write + Send + 'static, level: Level) -> Result<(Log, Guard), LogError> {
-    start_with_capacity(output, level, CAPACITY)
+    start_with_capacity(output, level, QUEUE_CAPACITY)
 }
 
 /// Starts the writer thread on `output`. At most `capacity` lines are queued for it.
@@ -219,7 +219,7 @@
     let mut output = io::BufWriter::new(output);
     let mut names = Arc::new(Names::default());
     while let Ok(first) = received.recv() {
-        let batch = std::iter::once(first).chain(received.try_iter().take(CAPACITY));
+        let batch = std::iter::once(first).chain(received.try_iter().take(QUEUE_CAPACITY));
         for line in batch {
             // A failed write of the log must not stop the process.
             let _ = match line {
--- a/components/telemetry/src/names.rs
+++ b/components/telemetry/src/names.rs
@@ -9,8 +9,8 @@
 
 /// Names of a site's objects by identifier.
 ///
-/// Identifiers are hashes of names, and `settings` rejects collisions only within a kind of object,
-/// so each kind has its own map.
+/// Identifiers of all kinds of objects are hashes of names in one number space, and `settings`
+/// rejects collisions only within a kind, so each kind has its own map.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     data_centres: HashMap<u64, CompactString>,
--- a/components/timer/tests/order.rs
+++ b/components/timer/tests/order.rs
@@ -7,7 +7,7 @@
 };
 use timer::{Deadline, after, next_tick};
 
-const FAR: Duration = Duration::from_secs(3_600);
+const FAR_DELAY: Duration = Duration::from_secs(3_600);
 
 #[test]
 fn no_timer_completes_early() {
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_timer_reset_to_an_earlier_time_completes_then() {
-    let mut far = Deadline::at(Instant::now() + FAR);
+    let mut far = Deadline::at(Instant::now() + FAR_DELAY);
     block_on(async {
         assert!(future::poll_once(&mut far).await.is_none());
         far.reset(Instant::now());
@@ -58,7 +58,7 @@
     let mut near = next_tick();
     block_on(async {
         assert!(future::poll_once(&mut near).await.is_none());
-        near.reset(Instant::now() + FAR);
+        near.reset(Instant::now() + FAR_DELAY);
         // Several tick intervals.
         after(Duration::from_millis(60)).await;
         assert!(future::poll_once(&mut near).await.is_none());
--- a/components/wire/tests/common/mod.rs
+++ b/components/wire/tests/common/mod.rs
@@ -60,10 +60,10 @@
         3 => Message::Query { request, id, firm },
         4 => Message::Progress { request, status: maybe(rng, status) },
         5 => Message::Answered { request, answer: Arc::new(answer(rng)) },
-        6 => Message::CapacityRequest(want(rng)),
+        6 => Message::CapacityRequest(capacity_request(rng)),
         7 => Message::Lend(Lend { service: ServiceId(number(rng)), grants: several(rng, grant) }),
-        8 => Message::Return(giveback(rng)),
-        9 => Message::InUse(giveback(rng)),
+        8 => Message::Return(service_grants(rng)),
+        9 => Message::InUse(service_grants(rng)),
         10 => Message::Usage(usage(rng)),
         11 => Message::Heartbeat(heartbeat(rng)),
         12 => Message::Handover(handover(rng)),
@@ -172,7 +172,7 @@
     Demand { firm: FirmId(number(rng)), jobs: rng.random() }
 }
 
-fn want(rng: &mut Random) -> CapacityRequest {
+fn capacity_request(rng: &mut Random) -> CapacityRequest {
     CapacityRequest {
         service: ServiceId(number(rng)),
         tasks: rng.random(),
@@ -186,7 +186,7 @@
     Grant { endpoint: EndpointId(number(rng)), resources: resources(rng) }
 }
 
-fn giveback(rng: &mut Random) -> ServiceGrants {
+fn service_grants(rng: &mut Random) -> ServiceGrants {
     ServiceGrants { service: ServiceId(number(rng)), grants: several(rng, grant) }
 }
 
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -21,7 +21,7 @@
 /// Base name of the authority's files.
 const AUTHORITY_NAME: &str = "authority";
 
-/// File mode of keys and certificates: only the owner may read and write.
+/// File mode of keys and certificates, so that only the owner may read a private key.
 const FILE_MODE: u32 = 0o600;
 
 /// Paths of the files that were written.
