--- a/components/platform/src/claim/document.rs
+++ b/components/platform/src/claim/document.rs
@@ -61,7 +61,7 @@
     /// Identifier of the submission: the token of its home and a UUID.
     #[serde(with = "text")]
     id: SubmissionId,
-    /// Time after which the claim is dropped.
+    /// Time after which the claim is dropped, in seconds since 1970.
     expires: Timestamp,
 }
 
