--- a/components/endpoint/tests/replies.rs
+++ b/components/endpoint/tests/replies.rs
@@ -125,7 +125,7 @@
         for _ in 0..3 {
             output(client.call(call(executor.address(), "")).await.reply);
             executor.kill().await;
-            executor.revive().unwrap();
+            executor.restart().unwrap();
         }
         assert_eq!(executor.ledger().count(Step::Start), 3);
     });
--- a/components/entry/tests/leaving.rs
+++ b/components/entry/tests/leaving.rs
@@ -197,7 +197,7 @@
             let reply = office.send("POST", PATH, &[], r#"{"ms": 1}"#).await;
             assert_eq!(reply.json()["endpoint"], "office-1");
         }
-        deployment.executors[0].revive().unwrap();
+        deployment.executors[0].restart().unwrap();
         cutting.signal("CONT");
         deployment.platform.down(false);
         let reply = cutting.send("POST", PATH, &[], r#"{"ms": 1}"#).await;
--- a/components/standin/src/cli.rs
+++ b/components/standin/src/cli.rs
@@ -4,11 +4,11 @@
 use site::unit::{Accelerators, Cores, Memory, Span};
 use std::net::SocketAddr;
 
-/// Small servers that take the place of outside systems in tests.
+/// Small servers that replace external systems in tests.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub(crate) struct Cli {
-    /// What to run.
+    /// The stand-in to run.
     #[command(subcommand)]
     pub(crate) command: Command,
 }
@@ -27,7 +27,7 @@
 /// The platform's key-value service.
 #[derive(Debug, Args)]
 pub(crate) struct Platform {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the operating system chooses the port.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub(crate) address: SocketAddr,
 }
@@ -35,19 +35,19 @@
 /// An executor.
 #[derive(Debug, Args)]
 pub(crate) struct Executor {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the operating system chooses the port.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub(crate) address: SocketAddr,
     /// Name in the ledger.
     #[arg(long, default_value = "executor")]
     pub(crate) name: String,
-    /// Tasks at one time.
+    /// Maximum number of concurrent tasks.
     #[arg(long, default_value_t = 8)]
     pub(crate) slots: usize,
-    /// Connections at one time.
+    /// Maximum number of open connections.
     #[arg(long, default_value_t = 64)]
     pub(crate) connections: usize,
-    /// Run time of a task whose body gives none.
+    /// Run time of a task whose body doesn't set one.
     #[arg(long, default_value = "50ms")]
     pub(crate) run_time: Span,
 }
@@ -55,28 +55,28 @@
 /// A worker.
 #[derive(Debug, Args)]
 pub(crate) struct Worker {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the operating system chooses the port.
     #[arg(long, default_value = "127.0.0.1:0")]
     pub(crate) address: SocketAddr,
     /// Name in the ledger.
     #[arg(long, default_value = "worker")]
     pub(crate) name: String,
-    /// Processor capacity.
+    /// Processor cores for tasks.
     #[arg(long, default_value = "16")]
     pub(crate) cores: Cores,
-    /// Main memory.
+    /// Memory for tasks.
     #[arg(long, default_value = "32GiB")]
     pub(crate) memory: Memory,
-    /// Accelerators.
+    /// Accelerators for tasks.
     #[arg(long, default_value = "0")]
     pub(crate) accelerators: Accelerators,
-    /// Connections at one time.
+    /// Maximum number of open connections.
     #[arg(long, default_value_t = 256)]
     pub(crate) connections: usize,
-    /// Run time of a task whose body gives none.
+    /// Run time of a task whose body doesn't set one.
     #[arg(long, default_value = "50ms")]
     pub(crate) run_time: Span,
-    /// Time between measurements of usage.
+    /// Interval between measurements of usage.
     #[arg(long, default_value = "1s")]
     pub(crate) usage_interval: Span,
 }
--- a/components/standin/src/cmd/mod.rs
+++ b/components/standin/src/cmd/mod.rs
@@ -9,7 +9,7 @@
 use site::unit::Span;
 use std::{future::pending, io, net::SocketAddr, time::Duration};
 
-/// Runs a stand-in for ever.
+/// Runs a stand-in until the process is killed.
 pub(crate) fn run(command: Command) -> io::Result<()> {
     match command {
         Command::Platform(args) => platform::run(&args),
@@ -18,7 +18,7 @@
     }
 }
 
-/// Prints where the stand-in listens, as one line of JSON, and serves.
+/// Prints the stand-in's address as one line of JSON and blocks while it serves.
 fn serve(address: SocketAddr) -> io::Result<()> {
     println!("{}", json!({"address": address}));
     smol::block_on(pending())
--- a/components/standin/src/executor/mod.rs
+++ b/components/standin/src/executor/mod.rs
@@ -1,14 +1,14 @@
 //! A stand-in for an executor.
 //!
-//! `POST /<service>` takes JSON `{"ms": 50, "echo": ..., "status": 200}`, all of it optional, runs
-//! for that time and answers with the echo. `GET /healthz` tells the state of an attempt.
+//! `POST /<service>` accepts JSON `{"ms": 50, "echo": ..., "status": 200}` with all fields optional,
+//! runs for that time and returns the echo. `GET /healthz` reports the state of an attempt.
 
 use crate::{
     Faults, Ledger,
     ledger::Step,
     protocol,
     request::Request,
-    serve::{Answer, Attempt, Control, Host, Node, serve},
+    serve::{Attempt, Control, EndpointState, Host, Response, serve},
 };
 use parking_lot::Mutex;
 use serde_json::{Value, json};
@@ -23,16 +23,16 @@
 };
 use trillium::{Conn, Method};
 
-/// What an executor offers.
+/// Name, slots and limits of an executor.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name in the ledger.
+    /// Name of the executor in the ledger.
     pub name: String,
-    /// Tasks that it runs at one time.
+    /// Maximum number of concurrent tasks.
     pub slots: usize,
-    /// Connections that it accepts at one time.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Run time of a task whose body gives none.
+    /// Run time of a task whose body doesn't set one.
     pub run_time: Duration,
 }
 
@@ -53,23 +53,23 @@
 }
 
 impl Executor {
-    /// Starts to serve on `address`; the system chooses a port if it gives none.
+    /// Starts to serve on `address`; the operating system chooses the port if it is 0.
     ///
     /// # Errors
     ///
     /// When the address can't be bound.
     pub fn spawn(address: SocketAddr, options: Options, ledger: Ledger) -> io::Result<Executor> {
-        let node = Arc::new(Node::new(&options.name, ledger));
-        let control = Control::new(Arc::clone(&node));
+        let endpoint = Arc::new(EndpointState::new(&options.name, ledger));
+        let control = Control::new(Arc::clone(&endpoint));
         let connections = options.connections;
         let state = Arc::new(State {
-            node: Arc::clone(&node),
+            endpoint: Arc::clone(&endpoint),
             control: control.clone(),
             options,
             tasks: Mutex::default(),
         });
         let handler = move |conn: Conn| handle(Arc::clone(&state), conn);
-        Ok(Executor { host: Host::spawn(address, connections, node, control, handler)? })
+        Ok(Executor { host: Host::spawn(address, connections, endpoint, control, handler)? })
     }
 }
 
@@ -82,7 +82,7 @@
 }
 
 struct State {
-    node: Arc<Node>,
+    endpoint: Arc<EndpointState>,
     control: Control,
     options: Options,
     tasks: Mutex<Tasks>,
@@ -91,59 +91,59 @@
 #[derive(Default)]
 struct Tasks {
     running: usize,
-    /// Attempts that started: whether they have ended.
+    /// Attempts that started, with whether they have ended.
     attempts: HashMap<String, bool>,
-    /// Tasks that started.
+    /// Ids of the tasks that started.
     started: HashSet<String>,
 }
 
 async fn handle(state: Arc<State>, conn: Conn) -> Conn {
-    if Control::takes(&conn) {
+    if Control::is_control_request(&conn) {
         return state.control.serve(conn).await;
     }
     let state = &*state;
     match (conn.method(), conn.path()) {
         (Method::Get, "/healthz") => {
             let health = |attempt, _| {
-                let answer = state.health(&attempt);
-                async { answer }
+                let response = state.health(&attempt);
+                async { response }
             };
-            serve(&state.node, conn, health).await
+            serve(&state.endpoint, conn, health).await
         }
         (Method::Post, _) => {
             let run = |attempt, body: String| async move { state.run(attempt, &body).await };
-            serve(&state.node, conn, run).await
+            serve(&state.endpoint, conn, run).await
         }
         _ => conn,
     }
 }
 
 impl State {
-    fn health(&self, attempt: &Attempt) -> Answer {
-        let answer = Answer::new(200, Value::Null);
-        if attempt.id.is_empty() || self.node.faults().plain_health {
-            return answer;
+    fn health(&self, attempt: &Attempt) -> Response {
+        let response = Response::new(200, Value::Null);
+        if attempt.id.is_empty() || self.endpoint.faults().plain_health {
+            return response;
         }
         let state = match self.tasks.lock().attempts.get(&attempt.id) {
             None => "unknown",
             Some(false) => "running",
             Some(true) => "ended",
         };
-        answer.with(protocol::ATTEMPT_STATE, state)
+        response.with(protocol::ATTEMPT_STATE, state)
     }
 
-    async fn run(&self, attempt: Attempt, body: &str) -> Answer {
-        let faults = self.node.faults();
+    async fn run(&self, attempt: Attempt, body: &str) -> Response {
+        let faults = self.endpoint.faults();
         let Ok(request) = Request::parse(body) else {
-            return Answer::new(400, json!("the body is not a task"));
+            return Response::new(400, json!("the body is not a task"));
         };
         let mut run = match self.start(&attempt, &faults) {
             Ok(run) => run,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
-        if self.node.takes_failure() {
+        if self.endpoint.consume_failure() {
             run.end();
-            return Answer { ran: true, ..Answer::new(500, json!("failed")) };
+            return Response { has_run: true, ..Response::new(500, json!("failed")) };
         }
         let time = request.run_time().unwrap_or(self.options.run_time);
         Timer::after(time.mul_f64(faults.slow)).await;
@@ -152,18 +152,18 @@
             "echo": request.echo,
             "task": attempt.task,
             "attempt": attempt.id,
-            "endpoint": self.node.name,
+            "endpoint": self.endpoint.name,
         });
-        let answer = Answer::new(request.status.unwrap_or(200), body);
-        Answer { ran: true, ..answer }.with(protocol::ATTEMPT, &attempt.id)
+        let response = Response::new(request.status.unwrap_or(200), body);
+        Response { has_run: true, ..response }.with(protocol::ATTEMPT, &attempt.id)
     }
 
-    /// Takes a slot, or says why not.
-    fn start<'a>(&'a self, attempt: &'a Attempt, faults: &Faults) -> Result<Run<'a>, Answer> {
+    /// Occupies a slot, or returns the response that refuses the task.
+    fn start<'a>(&'a self, attempt: &'a Attempt, faults: &Faults) -> Result<Run<'a>, Response> {
         let mut tasks = self.tasks.lock();
         if faults.detect_duplicates && tasks.started.contains(&attempt.task) {
-            self.node.record(attempt, Step::Repeat);
-            return Err(Answer::repeated());
+            self.endpoint.record(attempt, Step::Repeat);
+            return Err(Response::repeated());
         }
         let refusal = match () {
             () if faults.leaving => Some("leaving"),
@@ -171,18 +171,18 @@
             () => None,
         };
         if let Some(reason) = refusal {
-            self.node.record(attempt, Step::Refusal);
-            return Err(Answer::refusal(reason));
+            self.endpoint.record(attempt, Step::Refusal);
+            return Err(Response::refusal(reason));
         }
         tasks.running += 1;
         tasks.attempts.insert(attempt.id.clone(), false);
         tasks.started.insert(attempt.task.clone());
-        self.node.record(attempt, Step::Start);
+        self.endpoint.record(attempt, Step::Start);
         Ok(Run { state: self, attempt, ended: false })
     }
 }
 
-/// A task in its slot. Dropped before its end, it is stopped.
+/// A task that occupies a slot. Dropping it before its end records that it was stopped.
 struct Run<'a> {
     state: &'a State,
     attempt: &'a Attempt,
@@ -199,7 +199,7 @@
         let mut tasks = self.state.tasks.lock();
         tasks.running -= 1;
         tasks.attempts.insert(self.attempt.id.clone(), true);
-        self.state.node.record(self.attempt, step);
+        self.state.endpoint.record(self.attempt, step);
     }
 }
 
--- a/components/standin/src/fault.rs
+++ b/components/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints that tests switch on.
+//! Faults that tests can switch on in the stand-ins for endpoints.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,30 +6,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Refuses every task, marked as not run.
+    /// Refuses every task with the outcome "not run".
     pub refuse: bool,
-    /// Answers every task at once with status 500, after a start.
+    /// Fails every task with status 500 as soon as it has started.
     pub fail_everything: bool,
-    /// Does so for this many tasks.
+    /// Number of further tasks that fail so.
     pub fail_next: u32,
     /// Multiplies run times.
     pub slow: f64,
-    /// The connections that exist when this is switched on go silent; new ones work.
+    /// The connections that exist when this is set lose traffic; new ones work.
     pub silent: Option<Silence>,
-    /// Runs tasks, then closes the connection without an answer.
+    /// Runs tasks, then closes the connection without a response.
     pub drop_after_write: bool,
-    /// Runs tasks, then closes the connection within the answer.
+    /// Runs tasks, then closes the connection in the middle of the response.
     pub truncate: bool,
-    /// Answers what is not HTTP.
+    /// Runs tasks, then responds with text that isn't HTTP.
     pub malformed: bool,
-    /// Says in each answer that it is leaving, and refuses tasks.
+    /// Reports in each response that the endpoint is leaving, and refuses tasks.
     pub leaving: bool,
-    /// Answers a task that it started before with status 409 instead of running it again.
+    /// Rejects a task that was started before with status 409 instead of running it again.
     pub detect_duplicates: bool,
-    /// Health answers do not tell about attempts, as those of an executor that can't.
+    /// Health responses don't report the state of attempts, as for an executor without that feature.
     pub plain_health: bool,
-    /// Stops to listen, cuts all connections, and listens again after this time in milliseconds;
-    /// never if zero. Acts once.
+    /// Stops listening, closes all connections, and listens again after this time in milliseconds, or
+    /// never if zero. Applied once when it is set.
     pub dead_for: Option<u64>,
 }
 
@@ -56,8 +56,8 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Silence {
-    /// Requests do not arrive.
+    /// Requests are lost.
     Requests,
-    /// Requests arrive and run; their answers do not.
+    /// Requests are received and run; their responses are lost.
     Answers,
 }
--- a/components/standin/src/kv/mod.rs
+++ b/components/standin/src/kv/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the store of the users' platform, over HTTP: items with revisions, leases,
-//! watches, changes under conditions.
+//! A stand-in for the key-value store of the users' platform, over HTTP: items with revisions,
+//! leases, watches and conditional transactions.
 
 mod serve;
 mod state;
--- a/components/standin/src/kv/serve.rs
+++ b/components/standin/src/kv/serve.rs
@@ -1,6 +1,6 @@
-//! The store's HTTP interface and its faults.
+//! The store's HTTP API and the faults that tests switch on.
 
-use super::state::{Change, Item, Refused, State};
+use super::state::{Change, ChangeError, Item, State};
 use crate::serve::Loopback;
 use base64::{Engine, prelude::BASE64_STANDARD};
 use event_listener::Event;
@@ -17,28 +17,28 @@
 };
 use trillium::{Conn, Handler, Method};
 
-/// How often ended leases are looked for.
+/// Interval between checks for expired leases.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// For how long a silent store holds a call.
-const SILENCE: Duration = Duration::from_secs(30);
+/// How long an unresponsive store holds a call before it fails it with status 503.
+const UNRESPONSIVE_CALL_DURATION: Duration = Duration::from_secs(30);
 
-/// How the store behaves.
+/// Fault mode of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// It answers.
+    /// The store serves every call.
     #[default]
     Up,
-    /// It answers every call with 503.
+    /// Every call fails with status 503.
     Busy,
-    /// It does not answer.
-    Silent,
+    /// Calls get no response for 30 seconds.
+    Unresponsive,
 }
 
 /// A running stand-in. Stops when it is dropped.
 #[derive(Debug)]
 pub struct Store {
-    /// Where it listens.
+    /// The address that the store listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _server: Loopback,
@@ -89,13 +89,13 @@
     /// When the address can't be bound.
     pub fn start() -> io::Result<Store> {
         let shared = Arc::new(Shared::default());
-        let server = Loopback::start(Front(shared.clone()))?;
+        let server = Loopback::start(Routes(shared.clone()))?;
         let expiring = shared.clone();
         let expiry = smol::spawn(async move {
             loop {
                 Timer::after(EXPIRY_INTERVAL).await;
-                let down = *expiring.mode.lock() != Mode::Up;
-                if !down && expiring.state.lock().expire() {
+                let is_unavailable = *expiring.mode.lock() != Mode::Up;
+                if !is_unavailable && expiring.state.lock().expire() {
                     expiring.changed.notify(usize::MAX);
                 }
             }
@@ -103,16 +103,16 @@
         Ok(Store { address: server.address, shared, _server: server, _expiry: expiry })
     }
 
-    /// Changes how the store behaves.
+    /// Sets the fault mode and wakes waiting watches.
     pub fn set_mode(&self, mode: Mode) {
         *self.shared.mode.lock() = mode;
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Writes a key, as the operator or an executor does.
+    /// Writes a key without conditions, as the operator or an executor does.
     pub fn put(&self, key: &str, value: &[u8]) {
         let puts = vec![(key.to_owned(), BASE64_STANDARD.encode(value), 0)];
-        // Without conditions and leases nothing can be refused.
+        // A change without conditions and leases can't fail.
         let _ = self.shared.state.lock().change(&[], puts, &[]);
         self.shared.changed.notify(usize::MAX);
     }
@@ -123,31 +123,31 @@
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Keys with a prefix.
+    /// Returns the keys that start with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.shared.state.lock();
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Forgets the history, and ends waiting watches.
-    pub fn forget(&self) {
-        self.shared.state.lock().forget();
+    /// Discards the history of changes and wakes waiting watches: those behind fail with 410.
+    pub fn compact(&self) {
+        self.shared.state.lock().compact();
         self.shared.changed.notify(usize::MAX);
     }
 }
 
-/// Answers calls.
-struct Front(Arc<Shared>);
+/// The HTTP routes of the store.
+struct Routes(Arc<Shared>);
 
 #[trillium::async_trait]
-impl Handler for Front {
+impl Handler for Routes {
     async fn run(&self, mut conn: Conn) -> Conn {
         let mode = *self.0.mode.lock();
         match mode {
             Mode::Up => {}
             Mode::Busy => return conn.with_status(503).with_body("{}").halt(),
-            Mode::Silent => {
-                Timer::after(SILENCE).await;
+            Mode::Unresponsive => {
+                Timer::after(UNRESPONSIVE_CALL_DURATION).await;
                 return conn.with_status(503).halt();
             }
         }
@@ -155,14 +155,14 @@
             return conn.with_status(400).halt();
         };
         let path = conn.path().to_owned();
-        let query = query(conn.querystring());
-        let (status, answer) = self.0.answer(conn.method(), &path, &query, &body).await;
-        conn.with_status(status).with_body(answer.to_string()).halt()
+        let query = parse_query(conn.querystring());
+        let (status, response) = self.0.respond(conn.method(), &path, &query, &body).await;
+        conn.with_status(status).with_body(response.to_string()).halt()
     }
 }
 
 impl Shared {
-    async fn answer(
+    async fn respond(
         &self,
         method: Method,
         path: &str,
@@ -170,7 +170,7 @@
         body: &str,
     ) -> (u16, Value) {
         let text = |name: &str| query.get(name).cloned().unwrap_or_default();
-        let (call, id) = split(path);
+        let (call, id) = split_path(path);
         match (method, call) {
             (Method::Get, "kv-range") => (200, self.range(&text("prefix"), &text("after"))),
             (Method::Get, "kv-watch") => {
@@ -187,12 +187,12 @@
                 }
                 Err(_) => (400, json!({})),
             },
-            (Method::Post, "kv-keep") => match self.state.lock().keep(id) {
+            (Method::Post, "kv-keep") => match self.state.lock().keep_alive(id) {
                 true => (200, json!({ "ttl_ms": 0 })),
                 false => (404, json!({})),
             },
             (Method::Delete, "kv-lease-end") => {
-                let ended = self.state.lock().end(id);
+                let ended = self.state.lock().revoke(id);
                 self.changed.notify(usize::MAX);
                 (if ended { 200 } else { 404 }, json!({}))
             }
@@ -213,13 +213,13 @@
     }
 
     async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> (u16, Value) {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
             let changed = self.changed.listen();
             {
                 let state = self.state.lock();
                 let Some(changes) = state.since(prefix, after) else { return (410, json!({})) };
-                if !changes.is_empty() || Instant::now() >= until {
+                if !changes.is_empty() || Instant::now() >= deadline {
                     let events: Vec<_> = changes.iter().map(event).collect();
                     return (200, json!({ "events": events, "as_of": state.revision }));
                 }
@@ -228,7 +228,7 @@
                 return (503, json!({}));
             }
             let timeout = async {
-                Timer::at(until).await;
+                Timer::at(deadline).await;
             };
             changed.or(timeout).await;
         }
@@ -238,21 +238,24 @@
         let Ok(transaction) = serde_json::from_str::<Transaction>(body) else {
             return (400, json!({}));
         };
-        let expected: Vec<_> =
-            transaction.expected.into_iter().map(|row| (row.key, row.revision)).collect();
+        let expected: Vec<_> = transaction
+            .expected
+            .into_iter()
+            .map(|condition| (condition.key, condition.revision))
+            .collect();
         let puts =
             transaction.puts.into_iter().map(|put| (put.key, put.value, put.lease)).collect();
         let result = self.state.lock().change(&expected, puts, &transaction.deletes);
         self.changed.notify(usize::MAX);
         match result {
             Ok(revision) => (200, json!({ "revision": revision })),
-            Err(Refused::Condition) => (412, json!({ "items": [] })),
-            Err(Refused::Lease) => (404, json!({})),
+            Err(ChangeError::ConditionFailed) => (412, json!({ "items": [] })),
+            Err(ChangeError::LeaseNotFound) => (404, json!({})),
         }
     }
 }
 
-fn split(path: &str) -> (&str, u64) {
+fn split_path(path: &str) -> (&str, u64) {
     let rest = path.strip_prefix("/-/").unwrap_or(path);
     match rest.split_once('/') {
         Some((call, id)) => (call, id.parse().unwrap_or(0)),
@@ -277,14 +280,14 @@
     }
 }
 
-fn query(text: &str) -> BTreeMap<String, String> {
+fn parse_query(text: &str) -> BTreeMap<String, String> {
     text.split('&')
         .filter_map(|pair| pair.split_once('='))
-        .map(|(name, value)| (name.to_owned(), unescape(value)))
+        .map(|(name, value)| (name.to_owned(), percent_decode(value)))
         .collect()
 }
 
-fn unescape(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut bytes = text.bytes();
     let mut out = Vec::new();
     while let Some(byte) = bytes.next() {
--- a/components/standin/src/kv/state.rs
+++ b/components/standin/src/kv/state.rs
@@ -1,21 +1,24 @@
-//! What the store holds.
+//! The items, history and leases of the store.
 
 use std::{
     collections::BTreeMap,
     time::{Duration, Instant},
 };
 
-/// An item.
+/// The stored value of a key.
 #[derive(Clone, Debug)]
 pub(super) struct Item {
-    /// As base64.
+    /// The value, in base64.
     pub(super) value: String,
+    /// Revision of the last write.
     pub(super) revision: u64,
+    /// Revision that created the key.
     pub(super) created: u64,
+    /// The lease that the key is attached to; 0 if none.
     pub(super) lease: u64,
 }
 
-/// A change; without an item it is a removal.
+/// A change of one key; a removal if it has no item.
 #[derive(Clone, Debug)]
 pub(super) struct Change {
     pub(super) key: String,
@@ -26,16 +29,16 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    ends: Instant,
+    expires_at: Instant,
 }
 
-/// Why a change was not made.
+/// The reason why a change was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Refused {
-    /// A condition does not hold.
-    Condition,
-    /// There is no such lease.
-    Lease,
+pub(super) enum ChangeError {
+    /// A key isn't at its expected revision.
+    ConditionFailed,
+    /// The lease doesn't exist or has expired.
+    LeaseNotFound,
 }
 
 #[derive(Debug)]
@@ -43,8 +46,8 @@
     pub(super) items: BTreeMap<String, Item>,
     pub(super) revision: u64,
     history: Vec<Change>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to this revision have been discarded.
+    compacted: u64,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
 }
@@ -55,7 +58,7 @@
             items: BTreeMap::new(),
             revision: 1,
             history: Vec::new(),
-            forgotten: 0,
+            compacted: 0,
             leases: BTreeMap::new(),
             next_lease: 1,
         }
@@ -67,18 +70,18 @@
         self.items.get(key).map_or(0, |item| item.revision)
     }
 
-    /// Makes changes if all conditions hold; returns the revision.
+    /// Applies all changes if every condition holds. Returns the new revision.
     pub(super) fn change(
         &mut self,
         expected: &[(String, u64)],
         puts: Vec<(String, String, u64)>,
         deletes: &[String],
-    ) -> Result<u64, Refused> {
+    ) -> Result<u64, ChangeError> {
         if expected.iter().any(|(key, revision)| self.revision_of(key) != *revision) {
-            return Err(Refused::Condition);
+            return Err(ChangeError::ConditionFailed);
         }
         if puts.iter().any(|(_, _, lease)| *lease != 0 && !self.leases.contains_key(lease)) {
-            return Err(Refused::Lease);
+            return Err(ChangeError::LeaseNotFound);
         }
         self.revision += 1;
         let revision = self.revision;
@@ -101,35 +104,36 @@
         }
     }
 
-    /// Changes after a revision; `None` when they are forgotten.
+    /// Returns the changes of keys under `prefix` after revision `after`; `None` if some of them have
+    /// been discarded.
     pub(super) fn since(&self, prefix: &str, after: u64) -> Option<Vec<Change>> {
-        if after < self.forgotten {
+        if after < self.compacted {
             return None;
         }
         let wanted = |change: &&Change| change.revision > after && change.key.starts_with(prefix);
         Some(self.history.iter().filter(wanted).cloned().collect())
     }
 
-    pub(super) fn forget(&mut self) {
-        self.forgotten = self.revision;
+    pub(super) fn compact(&mut self) {
+        self.compacted = self.revision;
         self.history.clear();
     }
 
     pub(super) fn grant(&mut self, ttl: Duration) -> u64 {
         let lease = self.next_lease;
         self.next_lease += 1;
-        self.leases.insert(lease, Lease { ttl, ends: Instant::now() + ttl });
+        self.leases.insert(lease, Lease { ttl, expires_at: Instant::now() + ttl });
         lease
     }
 
-    pub(super) fn keep(&mut self, lease: u64) -> bool {
+    pub(super) fn keep_alive(&mut self, lease: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&lease) else { return false };
-        lease.ends = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         true
     }
 
-    /// Ends a lease and removes its keys; false when there is none.
-    pub(super) fn end(&mut self, lease: u64) -> bool {
+    /// Ends a lease and removes its keys. Returns whether the lease existed.
+    pub(super) fn revoke(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
         }
@@ -144,14 +148,18 @@
         true
     }
 
-    /// Ends leases whose time is over; returns whether there were any.
+    /// Removes expired leases and their keys. Returns whether there were any.
     pub(super) fn expire(&mut self) -> bool {
         let now = Instant::now();
-        let over: Vec<_> =
-            self.leases.iter().filter(|(_, lease)| lease.ends <= now).map(|(id, _)| *id).collect();
-        over.iter().for_each(|lease| {
-            self.end(*lease);
+        let expired: Vec<_> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        expired.iter().for_each(|lease| {
+            self.revoke(*lease);
         });
-        !over.is_empty()
+        !expired.is_empty()
     }
 }
--- a/components/standin/src/leased/mod.rs
+++ b/components/standin/src/leased/mod.rs
@@ -1,9 +1,9 @@
-//! A stand-in for an executor that takes orders under a lease, over HTTP.
+//! A stand-in for an executor that carries out orders under a lease, over HTTP.
 //!
-//! A task's specification says what it does: `{"ms": 60, "cpu": 27000, "fail": false}`.
+//! A task's specification gives its run time, the cores it needs and whether it fails: `{"ms": 60, "cpu": 27000, "fail": false}`.
 
-mod life;
 mod serve;
+mod state;
 
-pub use life::{Life, Running};
-pub use serve::{Begun, Executor, Twice};
+pub use serve::{Executor, RunMonitor, StartedRun};
+pub use state::{ExecutorState, Running};
--- a/components/standin/src/leased/serve.rs
+++ b/components/standin/src/leased/serve.rs
@@ -1,6 +1,6 @@
-//! The executor's HTTP interface.
+//! The executor's HTTP API, and the check that no task runs on two executors at the same time.
 
-use super::Life;
+use super::ExecutorState;
 use crate::serve::Loopback;
 use event_listener::Event;
 use parking_lot::Mutex;
@@ -25,42 +25,43 @@
 };
 use trillium::{Conn, Handler, Status};
 
-/// How often a waiting look is answered anew.
-const POLL: Duration = Duration::from_millis(3);
+/// Interval at which a waiting poll checks for ended runs.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Runs by task, of all executors that share it: which executor runs what.
+/// Records the runs of all executors that share it, and tasks that run on two of them at the same
+/// time.
 #[derive(Debug, Default)]
-pub struct Twice {
-    state: Mutex<Ledger>,
+pub struct RunMonitor {
+    state: Mutex<MonitorState>,
 }
 
-/// A run that an executor has begun.
+/// A run that an executor has started.
 #[derive(Clone, Debug)]
-pub struct Begun {
-    /// When, since the time from which all clocks of a test count.
+pub struct StartedRun {
+    /// Time of the start, since the common time origin of the test.
     pub at: Time,
-    /// The executor.
+    /// Name of the executor.
     pub executor: String,
-    /// The run.
+    /// The run that was started.
     pub run: Run,
 }
 
 #[derive(Debug, Default)]
-struct Ledger {
+struct MonitorState {
     starts: BTreeMap<String, u64>,
-    /// All starts, in order.
-    begun: Vec<Begun>,
-    /// What was seen to run on two executors at a time.
-    broken: Vec<String>,
-    lives: Vec<Arc<Mutex<Life>>>,
+    /// All runs that were started, in order.
+    started_runs: Vec<StartedRun>,
+    /// Pairs of runs of one task that were in progress on two executors at the same time.
+    concurrent_runs: Vec<String>,
+    executors: Vec<Arc<Mutex<ExecutorState>>>,
 }
 
 /// A running stand-in. Stops when it is dropped.
 #[derive(Debug)]
 pub struct Executor {
-    /// Where it listens.
+    /// The address that the executor listens on.
     pub address: SocketAddr,
-    /// Names its life.
+    /// Name of this incarnation. Orders for another one are rejected with status 421.
     pub name: String,
     shared: Arc<Shared>,
     _server: Loopback,
@@ -69,9 +70,9 @@
 #[derive(Debug)]
 struct Shared {
     name: String,
-    begun: Instant,
-    life: Arc<Mutex<Life>>,
-    twice: Arc<Twice>,
+    epoch: Instant,
+    state: Arc<Mutex<ExecutorState>>,
+    monitor: Arc<RunMonitor>,
     changed: Event,
 }
 
@@ -113,7 +114,7 @@
 }
 
 #[derive(Serialize)]
-struct Entry<'a> {
+struct Registration<'a> {
     service: &'a str,
     address: SocketAddr,
     zone: &'a str,
@@ -127,83 +128,89 @@
     sequence: u64,
 }
 
-impl Twice {
-    /// Tasks that ran on two executors at a time.
-    pub fn broken(&self) -> Vec<String> {
-        self.state.lock().broken.clone()
+impl RunMonitor {
+    /// Returns the pairs of runs of one task that were in progress on two executors at the same time.
+    pub fn concurrent_runs(&self) -> Vec<String> {
+        self.state.lock().concurrent_runs.clone()
     }
 
-    /// How often a task of a job was started.
+    /// Returns how many runs were started for jobs whose id starts with `job`.
     pub fn starts(&self, job: &str) -> u64 {
         let state = self.state.lock();
         state.starts.iter().filter(|(name, _)| name.starts_with(job)).map(|(_, n)| n).sum()
     }
 
-    /// All runs that were begun, in order.
-    pub fn begun(&self) -> Vec<Begun> {
-        self.state.lock().begun.clone()
+    /// Returns all runs that were started, in order.
+    pub fn started_runs(&self) -> Vec<StartedRun> {
+        self.state.lock().started_runs.clone()
     }
 
-    /// Whether a task has run to its end anywhere.
+    /// Whether a task has completed on any executor.
     pub fn is_done(&self, job: &str, index: u16) -> bool {
-        let lives = self.state.lock().lives.clone();
-        lives.iter().any(|life| life.lock().done.contains(&(job.to_owned(), index)))
+        let executors = self.state.lock().executors.clone();
+        executors.iter().any(|state| state.lock().done.contains(&(job.to_owned(), index)))
     }
 
-    fn check(&self, now: Time, executor: &str, own: &Arc<Mutex<Life>>, run: &Run) {
+    fn record_start(&self, now: Time, executor: &str, own: &Arc<Mutex<ExecutorState>>, run: &Run) {
         let mut state = self.state.lock();
         let executor = executor.to_owned();
-        state.begun.push(Begun { at: now, executor, run: run.clone() });
+        state.started_runs.push(StartedRun { at: now, executor, run: run.clone() });
         *state.starts.entry(format!("{}.{}", run.job, run.index)).or_default() += 1;
         let others: Vec<_> =
-            state.lives.iter().filter(|life| !Arc::ptr_eq(life, own)).cloned().collect();
+            state.executors.iter().filter(|state| !Arc::ptr_eq(state, own)).cloned().collect();
         for other in others {
             let mut other = other.lock();
-            other.settle(now);
-            let is_twin = |there: &&Run| there.job == run.job && there.index == run.index;
-            if let Some(there) = other.running.keys().find(is_twin)
+            other.end_due_runs(now);
+            let is_same_task =
+                |other_run: &&Run| other_run.job == run.job && other_run.index == run.index;
+            if let Some(other_run) = other.running.keys().find(is_same_task)
                 && other.up
             {
-                state.broken.push(format!("{run} beside {there}"));
+                state.concurrent_runs.push(format!("{run} beside {other_run}"));
             }
         }
     }
 }
 
 impl Executor {
-    /// Starts an executor on a loopback address. `begun` is the time from which all clocks of a
-    /// test count.
+    /// Starts an executor on a loopback address. `epoch` is the common time origin of the test.
     ///
     /// # Errors
     ///
     /// When the address can't be bound.
-    pub fn start(name: &str, begun: Instant, twice: &Arc<Twice>) -> io::Result<Executor> {
+    pub fn start(name: &str, epoch: Instant, monitor: &Arc<RunMonitor>) -> io::Result<Executor> {
         let capacity = Resources {
             slots: Slots(8),
             cores: Cores(64_000),
             memory: Memory(64 << 30),
             ..Resources::default()
         };
-        let life = Arc::new(Mutex::new(Life::new(capacity, 10, 5_000)));
-        twice.state.lock().lives.push(life.clone());
+        let state = Arc::new(Mutex::new(ExecutorState::new(capacity, 10, 5_000)));
+        monitor.state.lock().executors.push(state.clone());
         let shared = Arc::new(Shared {
             name: name.to_owned(),
-            begun,
-            life,
-            twice: twice.clone(),
+            epoch,
+            state,
+            monitor: monitor.clone(),
             changed: Event::new(),
         });
-        let server = Loopback::start(Front(shared.clone()))?;
+        let server = Loopback::start(Routes(shared.clone()))?;
         Ok(Executor { address: server.address, name: name.to_owned(), shared, _server: server })
     }
 
-    /// Its entry in the platform's store.
-    pub fn entry(&self, service: &str, zone: &str, draining: bool, sequence: u64) -> Vec<u8> {
-        self.entry_at(self.address, service, zone, draining, sequence)
+    /// Returns the executor's registration, as stored under its key in the platform's store.
+    pub fn registration(
+        &self,
+        service: &str,
+        zone: &str,
+        draining: bool,
+        sequence: u64,
+    ) -> Vec<u8> {
+        self.registration_at(self.address, service, zone, draining, sequence)
     }
 
-    /// The same for an executor that is reached at another address.
-    pub fn entry_at(
+    /// Returns a registration with another address, for an executor behind a proxy.
+    pub fn registration_at(
         &self,
         address: SocketAddr,
         service: &str,
@@ -211,7 +218,7 @@
         draining: bool,
         sequence: u64,
     ) -> Vec<u8> {
-        let entry = Entry {
+        let registration = Registration {
             service,
             address,
             zone,
@@ -221,28 +228,28 @@
             cold_remaining_ms: 0,
             capacity: json!({ "cpu": 64_000, "mem_mb": 65_536, "gpu": 0 }),
             labels: ["a"],
-            clock_ms: self.shared.life.lock().clock(self.shared.now()),
+            clock_ms: self.shared.state.lock().clock(self.shared.now()),
             sequence,
         };
-        serde_json::to_vec(&entry).unwrap_or_default()
+        serde_json::to_vec(&registration).unwrap_or_default()
     }
 
-    /// Changes what it does.
-    pub fn change(&self, change: impl FnOnce(&mut Life, Time)) {
-        change(&mut self.shared.life.lock(), self.shared.now());
+    /// Changes the executor's state, for example to switch a fault on.
+    pub fn change(&self, change: impl FnOnce(&mut ExecutorState, Time)) {
+        change(&mut self.shared.state.lock(), self.shared.now());
     }
 
-    /// Runs that are there.
+    /// Returns the runs in progress.
     pub fn running(&self) -> Vec<Run> {
-        let mut life = self.shared.life.lock();
-        life.settle(self.shared.now());
-        life.running.keys().cloned().collect()
+        let mut state = self.shared.state.lock();
+        state.end_due_runs(self.shared.now());
+        state.running.keys().cloned().collect()
     }
 }
 
 impl Shared {
     fn now(&self) -> Time {
-        Time(self.begun.elapsed().as_micros() as u64)
+        Time(self.epoch.elapsed().as_micros() as u64)
     }
 
     fn start(&self, body: &StartBody) -> (u16, Value) {
@@ -257,22 +264,22 @@
         };
         let needs = Resources { slots: Slots(1), cores: Cores(spec.cpu), ..Resources::default() };
         let now = self.now();
-        let (reply, is_new) = {
-            let mut life = self.life.lock();
-            let known = life.running.contains_key(&run);
-            let reply = life.start(now, &start, needs, spec.ms * 1_000);
-            if let Some(running) = life.running.get_mut(&run)
+        let (response, is_new) = {
+            let mut state = self.state.lock();
+            let was_running = state.running.contains_key(&run);
+            let response = state.start(now, &start, needs, spec.ms * 1_000);
+            if let Some(running) = state.running.get_mut(&run)
                 && spec.fail
             {
-                running.how = RunResult::Failed;
+                running.result = RunResult::Failed;
             }
-            (reply, !known)
+            (response, !was_running)
         };
         self.changed.notify(usize::MAX);
-        match reply {
+        match response {
             StartResponse::Running { clock } => {
                 if is_new {
-                    self.twice.check(now, &self.name, &self.life, &run);
+                    self.monitor.record_start(now, &self.name, &self.state, &run);
                 }
                 (200, json!({ "clock_ms": clock }))
             }
@@ -286,18 +293,18 @@
     fn stop(&self, body: &StopBody) -> (u16, Value) {
         let Some(run) = Run::parse(&body.task, body.run) else { return malformed() };
         let now = self.now();
-        let mut life = self.life.lock();
-        let answer = life.stop(now, &run, body.fencing_token);
+        let mut state = self.state.lock();
+        let response = state.stop(now, &run, body.fencing_token);
         self.changed.notify(usize::MAX);
-        match answer {
-            Response::Done(()) => (200, json!({ "clock_ms": life.clock(now) })),
-            _ => (409, json!({ "clock_ms": life.clock(now), "reason": "fence" })),
+        match response {
+            Response::Done(()) => (200, json!({ "clock_ms": state.clock(now) })),
+            _ => (409, json!({ "clock_ms": state.clock(now), "reason": "fence" })),
         }
     }
 
     async fn hold(&self, body: &HoldBody) -> (u16, Value) {
         let until = Instant::now() + Duration::from_millis(body.wait_ms.min(2_000));
-        let look = Poll {
+        let poll = Poll {
             executor: EndpointId::of(&self.name),
             number: 0,
             token: body.fencing_token,
@@ -305,36 +312,36 @@
             deadline: body.deadline_ms,
             wait: Span::from_millis(body.wait_ms),
         };
-        let first = self.life.lock().look(self.now(), &look);
-        let mut answer = first;
+        let first = self.state.lock().poll(self.now(), &poll);
+        let mut response = first;
         while Instant::now() < until
-            && matches!(&answer, Response::Done(lists) if lists.ended.is_empty())
+            && matches!(&response, Response::Done(listing) if listing.ended.is_empty())
         {
             let changed = self.changed.listen();
-            let poll = async {
-                Timer::after(POLL).await;
+            let interval = async {
+                Timer::after(POLL_INTERVAL).await;
             };
-            changed.or(poll).await;
-            answer = self.life.lock().look(self.now(), &Poll { deadline: None, ..look });
+            changed.or(interval).await;
+            response = self.state.lock().poll(self.now(), &Poll { deadline: None, ..poll });
         }
-        match answer {
-            Response::Done(lists) => (200, render(&lists)),
+        match response {
+            Response::Done(listing) => (200, render(&listing)),
             _ => (409, json!({ "clock_ms": 0, "reason": "fence" })),
         }
     }
 }
 
-/// Answers orders.
-struct Front(Arc<Shared>);
+/// The HTTP routes for orders.
+struct Routes(Arc<Shared>);
 
 #[trillium::async_trait]
-impl Handler for Front {
+impl Handler for Routes {
     async fn run(&self, mut conn: Conn) -> Conn {
         let shared = &self.0;
-        let dark = shared.life.lock().dark_until;
-        if dark > shared.now() {
-            // Neither acts nor answers until then, and closes the connection.
-            Timer::after(Duration::from_micros(dark.since(shared.now()).0)).await;
+        let unresponsive_until = shared.state.lock().unresponsive_until;
+        if unresponsive_until > shared.now() {
+            // Holds the order until then and fails it without carrying it out.
+            Timer::after(Duration::from_micros(unresponsive_until.since(shared.now()).0)).await;
             return conn.with_status(Status::BadGateway).halt();
         }
         let expected = conn.request_headers().get_str("X-Expected-Instance").map(str::to_owned);
@@ -345,20 +352,20 @@
         let Ok(body) = conn.request_body_string().await else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        let (status, answer) = match path.as_str() {
-            "/-/run-start" => parsed(&body).map_or_else(malformed, |body| shared.start(&body)),
-            "/-/run-stop" => parsed(&body).map_or_else(malformed, |body| shared.stop(&body)),
-            "/-/hold" => match parsed(&body) {
+        let (status, response) = match path.as_str() {
+            "/-/run-start" => parse(&body).map_or_else(malformed, |body| shared.start(&body)),
+            "/-/run-stop" => parse(&body).map_or_else(malformed, |body| shared.stop(&body)),
+            "/-/hold" => match parse(&body) {
                 Some(body) => shared.hold(&body).await,
                 None => malformed(),
             },
             _ => (404, json!({})),
         };
-        conn.with_status(status).with_body(answer.to_string()).halt()
+        conn.with_status(status).with_body(response.to_string()).halt()
     }
 }
 
-fn parsed<T: for<'de> Deserialize<'de>>(body: &str) -> Option<T> {
+fn parse<T: for<'de> Deserialize<'de>>(body: &str) -> Option<T> {
     serde_json::from_str(body).ok()
 }
 
@@ -376,20 +383,23 @@
     }
 }
 
-fn render(lists: &Listing) -> Value {
-    let running: Vec<_> =
-        lists.running.iter().map(|run| json!([run.task_name(), run.number, "", 100, 0])).collect();
-    let ended: Vec<_> = lists.ended.iter().filter_map(row).collect();
-    json!({ "clock_ms": lists.clock, "running": running, "ended": ended })
+fn render(listing: &Listing) -> Value {
+    let running: Vec<_> = listing
+        .running
+        .iter()
+        .map(|run| json!([run.task_name(), run.number, "", 100, 0]))
+        .collect();
+    let ended: Vec<_> = listing.ended.iter().filter_map(ended_row).collect();
+    json!({ "clock_ms": listing.clock, "running": running, "ended": ended })
 }
 
-fn row(ended: &Ended) -> Option<Value> {
+fn ended_row(ended: &Ended) -> Option<Value> {
     let run = ended.run.as_ref()?;
-    let how = match ended.result {
+    let result = match ended.result {
         RunResult::Done => "done",
         RunResult::Failed => "failed",
         RunResult::Stopped => "stopped",
         RunResult::Lapsed => "lapsed",
     };
-    Some(json!([ended.number, run.task_name(), run.number, how, ""]))
+    Some(json!([ended.number, run.task_name(), run.number, result, ""]))
 }
--- a/components/standin/src/ledger.rs
+++ b/components/standin/src/ledger.rs
@@ -1,4 +1,5 @@
-//! The record of what stand-ins ran, refused and stopped. Tests check guarantees against it.
+//! The log of attempts that stand-ins started, ended, stopped and refused. Tests check guarantees
+//! against it.
 
 use event_listener::Event;
 use parking_lot::Mutex;
@@ -9,47 +10,47 @@
     time::{Duration, Instant},
 };
 
-/// What happened to an attempt.
+/// An event in the life cycle of an attempt.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
-    /// It started.
+    /// The attempt started.
     Start,
-    /// It ended by itself.
+    /// The attempt completed or failed by itself.
     End,
-    /// It was stopped on request.
+    /// The attempt was stopped on request, or because its connection was closed.
     Stop,
-    /// It was stopped because its lease lapsed.
+    /// The attempt was stopped because its lease expired.
     Lapse,
-    /// It was refused and did not start.
+    /// The attempt was refused and did not start.
     Refusal,
-    /// It arrived a second time, and was not started again.
+    /// The attempt or its task was received before and was not started again.
     Repeat,
 }
 
 /// One step of one attempt.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Time since the ledger was made, in microseconds.
+    /// Time since the ledger was created, in microseconds.
     pub at: u64,
     /// Name of the endpoint.
     pub endpoint: String,
-    /// The task, as the request named it; empty if it did not.
+    /// The task id from the request; empty if it has none.
     pub task: String,
-    /// The attempt, as the request named it; empty if it did not.
+    /// The attempt id from the request; empty if it has none.
     pub attempt: String,
-    /// What happened.
+    /// The event.
     pub step: Step,
 }
 
-/// A record of all steps. Clones share the record, also between stand-ins.
+/// A log of steps of attempts. Clones share the log, so that several stand-ins can write to it.
 #[derive(Clone, Debug)]
 pub struct Ledger(Arc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
-    made: Instant,
-    /// In the order of their times.
+    created: Instant,
+    /// Ordered by time.
     records: Mutex<Vec<Record>>,
     changed: Event,
 }
@@ -57,16 +58,16 @@
 impl Default for Ledger {
     fn default() -> Self {
         let changed = Event::new();
-        Ledger(Arc::new(Shared { made: Instant::now(), records: Mutex::default(), changed }))
+        Ledger(Arc::new(Shared { created: Instant::now(), records: Mutex::default(), changed }))
     }
 }
 
 impl Ledger {
-    /// Adds a step.
+    /// Appends a step with the present time.
     pub fn add(&self, endpoint: &str, task: &str, attempt: &str, step: Step) {
         let mut records = self.0.records.lock();
         records.push(Record {
-            at: self.0.made.elapsed().as_micros() as u64,
+            at: self.0.created.elapsed().as_micros() as u64,
             endpoint: endpoint.to_owned(),
             task: task.to_owned(),
             attempt: attempt.to_owned(),
@@ -76,17 +77,17 @@
         self.0.changed.notify(usize::MAX);
     }
 
-    /// All steps so far.
+    /// Returns all records so far.
     pub fn records(&self) -> Vec<Record> {
         self.0.records.lock().clone()
     }
 
-    /// Number of records of a step.
+    /// Returns the number of records of a step.
     pub fn count(&self, step: Step) -> usize {
         self.0.records.lock().iter().filter(|record| record.step == step).count()
     }
 
-    /// How often each task started.
+    /// Returns the number of starts of each task.
     pub fn starts(&self) -> BTreeMap<String, usize> {
         let records = self.0.records.lock();
         let starts = records.iter().filter(|record| record.step == Step::Start);
@@ -96,13 +97,13 @@
         })
     }
 
-    /// Tasks that started more than once.
+    /// Returns the tasks that started more than once.
     pub fn repeated(&self) -> Vec<String> {
         let starts = self.starts().into_iter();
         starts.filter(|(_, count)| *count > 1).map(|(task, _)| task).collect()
     }
 
-    /// Most attempts that an endpoint ran at one time.
+    /// Returns the largest number of attempts that an endpoint ran at the same time.
     pub fn peak(&self, endpoint: &str) -> usize {
         let records = self.0.records.lock();
         let steps = records.iter().filter(|record| record.endpoint == endpoint);
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Waits until `count` records of a step exist. Returns whether they do before `limit`.
+    /// Waits until `count` records of a step exist. Returns false if `limit` passes first.
     pub async fn wait(&self, step: Step, count: usize, limit: Duration) -> bool {
         let reached = async {
             loop {
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small servers that take the place of outside systems in tests.
+//! Small servers that replace external systems in tests: executors, workers, and key-value stores.
 
 pub mod executor;
 pub mod fault;
--- a/components/standin/src/main.rs
+++ b/components/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in until it is killed.
+//! The program `standin`: runs one stand-in until the process is killed.
 
 mod cli;
 mod cmd;
--- a/components/standin/src/platform/fault.rs
+++ b/components/standin/src/platform/fault.rs
@@ -1,24 +1,24 @@
-//! Switches for faults, and counters of the calls that arrived.
+//! Fault settings of the platform's stand-in, and counters of received calls.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults in force.
+/// Active faults.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are closed without an answer and nothing takes effect.
+    /// Connections are closed without a response and calls have no effect.
     pub down: bool,
     /// Delay before a call takes effect, in milliseconds.
     pub slow: u64,
-    /// This many answers to calls that change something are lost after the change.
+    /// Number of calls that change keys or leases whose response is lost after the change.
     pub lose_answers: u32,
-    /// This many changes of keys are held back: they get no answer and take effect when released.
+    /// Number of changes of keys to hold back: they get no response and take effect when released.
     pub hold_changes: u32,
-    /// Keys under this prefix are served as they were when the switch was set; off if empty.
+    /// Keys under this prefix are served as they were when this was set; off if empty.
     pub lag: String,
 }
 
-/// A change of the faults. What is absent stays as it is.
+/// A change of the faults. Absent fields leave their fault unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Change {
@@ -30,32 +30,32 @@
     pub lose_answers: Option<u32>,
     /// See [`Faults::hold_changes`].
     pub hold_changes: Option<u32>,
-    /// Lets the changes held back take effect, once.
+    /// Applies the changes held back, once.
     pub release: bool,
     /// See [`Faults::lag`].
     pub lag: Option<String>,
-    /// Ends all leases, once.
+    /// Expires all leases, once.
     pub expire_leases: bool,
-    /// Ends all open watches, once.
+    /// Closes all open watches, once.
     pub cut_watches: bool,
 }
 
-/// Calls that arrived, those lost to faults included.
+/// Number of calls received, including those that a fault dropped.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Ranges.
+    /// Range reads.
     pub reads: u64,
-    /// Writes, removals, transactions, and calls about leases.
+    /// Writes, removals, transactions, compactions, and calls that concern leases.
     pub writes: u64,
     /// Watches opened.
     pub watches: u64,
 }
 
-/// What `GET /faults` answers with.
+/// The response to `GET /faults`.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Faults in force.
+    /// Active faults.
     pub faults: Faults,
-    /// Calls so far.
+    /// Number of calls so far.
     pub calls: Calls,
 }
--- a/components/standin/src/platform/gateway.rs
+++ b/components/standin/src/platform/gateway.rs
@@ -1,14 +1,14 @@
-//! HTTP routes of the gateway and of the switches.
+//! HTTP routes of the gateway and of the fault control (`/faults`).
 
 use super::{
     State,
     fault::{Change, Report},
     message::{
-        CompactRequest, DeleteRequest, GrantRequest, LeaseRequest, LeaseResponse, PutRequest,
-        PutResponse, RangeRequest, Refusal, Streamed, TxnRequest, WatchRequest,
+        CompactRequest, DeleteRequest, ErrorBody, GrantRequest, LeaseRequest, LeaseResponse,
+        PutRequest, PutResponse, RangeRequest, Streamed, TxnRequest, WatchRequest,
     },
-    store::Refused,
-    watch::Broken,
+    store::StoreError,
+    watch::AbortedBody,
 };
 use derive_more::{Display, Error, From};
 use parking_lot::Mutex;
@@ -25,16 +25,16 @@
 const NOT_FOUND: u16 = 5;
 const FAILED_PRECONDITION: u16 = 9;
 const OUT_OF_RANGE: u16 = 11;
-/// Largest request body, in bytes.
-const BODY_LIMIT: u64 = 4 << 20;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: u64 = 4 << 20;
 
-/// Why a call has no ordinary answer.
+/// The reason why a call failed.
 #[derive(Debug, Display, Error, From)]
-enum Failure {
-    /// The request makes no sense.
+enum CallError {
+    /// The request body is malformed.
     Body(serde_json::Error),
-    /// The store refused it.
-    Refused(Refused),
+    /// The store rejected the request.
+    Store(StoreError),
 }
 
 /// A call of the published API.
@@ -67,21 +67,21 @@
         }
     }
 
-    fn kind(self) -> Kind {
+    fn kind(self) -> CallKind {
         match self {
-            Call::Range => Kind::Read,
-            Call::Watch => Kind::Watch,
-            _ => Kind::Write,
+            Call::Range => CallKind::Read,
+            Call::Watch => CallKind::Watch,
+            _ => CallKind::Write,
         }
     }
 
-    /// Whether it can be held back by the switch for it.
-    fn changes_keys(self) -> bool {
+    /// Whether [`Faults::hold_changes`](super::Faults::hold_changes) applies to the call.
+    fn modifies_keys(self) -> bool {
         matches!(self, Call::Put | Call::Delete | Call::Txn)
     }
 
-    /// Whether its answer can be lost by the switch for it.
-    fn changes(self) -> bool {
+    /// Whether [`Faults::lose_answers`](super::Faults::lose_answers) applies to the call.
+    fn modifies_state(self) -> bool {
         !matches!(self, Call::Range | Call::KeepAlive | Call::Watch)
     }
 }
@@ -89,17 +89,17 @@
 /// Serves one request.
 pub(super) async fn serve(conn: Conn, state: Arc<Mutex<State>>) -> Conn {
     match (conn.method(), conn.path()) {
-        (Method::Get, "/faults") => report(conn, &state),
-        (Method::Post, "/faults") => change(conn, &state).await,
+        (Method::Get, "/faults") => report_faults(conn, &state),
+        (Method::Post, "/faults") => change_faults(conn, &state).await,
         (Method::Post, path) => match Call::parse(path) {
-            Some(call) => answer(conn, &state, call).await,
+            Some(call) => handle_call(conn, &state, call).await,
             None => conn.with_status(Status::NotFound).halt(),
         },
         _ => conn.with_status(Status::NotFound).halt(),
     }
 }
 
-fn report(conn: Conn, state: &Mutex<State>) -> Conn {
+fn report_faults(conn: Conn, state: &Mutex<State>) -> Conn {
     let report = {
         let state = state.lock();
         Report { faults: state.faults.clone(), calls: state.calls }
@@ -107,34 +107,34 @@
     json(conn, Status::Ok, &report)
 }
 
-async fn change(mut conn: Conn, state: &Mutex<State>) -> Conn {
+async fn change_faults(mut conn: Conn, state: &Mutex<State>) -> Conn {
     let body = conn.request_body_string().await.unwrap_or_default();
     match serde_json::from_str::<Change>(&body) {
         Err(error) => conn.with_status(Status::BadRequest).with_body(error.to_string()).halt(),
         Ok(change) => {
-            state.lock().change(change);
-            report(conn, state)
+            state.lock().change_faults(change);
+            report_faults(conn, state)
         }
     }
 }
 
-async fn answer(mut conn: Conn, state: &Mutex<State>, call: Call) -> Conn {
-    let (down, slow) = state.lock().count(call.kind());
+async fn handle_call(mut conn: Conn, state: &Mutex<State>, call: Call) -> Conn {
+    let (down, slow) = state.lock().count_call(call.kind());
     if down {
-        return lose(conn);
+        return abort(conn);
     }
-    let body = conn.request_body().await.with_max_len(BODY_LIMIT).read_bytes().await;
-    let Ok(body) = body else { return lose(conn) };
+    let body = conn.request_body().await.with_max_len(MAX_BODY_BYTES).read_bytes().await;
+    let Ok(body) = body else { return abort(conn) };
     if slow > 0 {
         Timer::after(Duration::from_millis(slow)).await;
     }
-    if call.changes_keys() && state.lock().holds() {
-        state.lock().held.push(Held { call, body });
-        return lose(conn);
+    if call.modifies_keys() && state.lock().consume_held_change() {
+        state.lock().held.push(HeldChange { call, body });
+        return abort(conn);
     }
     let result = apply(&mut state.lock(), call, &body);
-    if call.changes() && result.is_ok() && state.lock().loses() {
-        return lose(conn);
+    if call.modifies_state() && result.is_ok() && state.lock().consume_lost_answer() {
+        return abort(conn);
     }
     match result {
         Ok(body) => conn
@@ -142,36 +142,36 @@
             .with_status(Status::Ok)
             .with_body(body)
             .halt(),
-        Err(failure) => refuse(conn, failure),
+        Err(error) => error_response(conn, error),
     }
 }
 
-/// A change that has not taken effect yet.
+/// A change that is held back by a fault and hasn't taken effect.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct HeldChange {
     call: Call,
     body: Vec<u8>,
 }
 
-impl Held {
-    /// Lets the change take effect. Nobody waits for its answer.
+impl HeldChange {
+    /// Applies the change. Its response is discarded, since the connection is closed.
     pub(super) fn release(self, state: &mut State) {
         let _ = apply(state, self.call, &self.body);
     }
 }
 
-/// Kind of a call, for the counters.
+/// The counter that a call belongs to.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Kind {
-    /// Reads.
+pub(super) enum CallKind {
+    /// Reads keys.
     Read,
-    /// Changes something, or keeps a lease.
+    /// Changes keys or leases, or keeps a lease alive.
     Write,
-    /// Waits for changes.
+    /// Opens a watch.
     Watch,
 }
 
-fn apply(state: &mut State, call: Call, body: &[u8]) -> Result<Body, Failure> {
+fn apply(state: &mut State, call: Call, body: &[u8]) -> Result<Body, CallError> {
     let now = Instant::now();
     state.expire(now);
     let store = &mut state.store;
@@ -223,28 +223,29 @@
         .halt()
 }
 
-fn lose(conn: Conn) -> Conn {
-    conn.with_status(Status::Ok).with_body(Body::new_streaming(Broken, Some(1))).halt()
+fn abort(conn: Conn) -> Conn {
+    conn.with_status(Status::Ok).with_body(Body::new_streaming(AbortedBody, Some(1))).halt()
 }
 
-fn refuse(conn: Conn, failure: Failure) -> Conn {
-    let (status, code, error) = match failure {
-        Failure::Body(error) => (Status::BadRequest, INVALID_ARGUMENT, error.to_string()),
-        Failure::Refused(refused) => {
-            let (status, code) = status(refused);
-            (status, code, refused.to_string())
+fn error_response(conn: Conn, error: CallError) -> Conn {
+    let (status, code, error) = match error {
+        CallError::Body(error) => (Status::BadRequest, INVALID_ARGUMENT, error.to_string()),
+        CallError::Store(error) => {
+            let (status, code) = status(error);
+            (status, code, error.to_string())
         }
     };
-    json(conn, status, &Refusal { error, code })
-}
-
-fn status(refused: Refused) -> (Status, u16) {
-    match refused {
-        Refused::EmptyKey | Refused::TooLarge | Refused::TooManyOps | Refused::DuplicateKey => {
-            (Status::BadRequest, INVALID_ARGUMENT)
-        }
-        Refused::NoLease => (Status::NotFound, NOT_FOUND),
-        Refused::LeaseExists => (Status::BadRequest, FAILED_PRECONDITION),
-        Refused::Compacted => (Status::BadRequest, OUT_OF_RANGE),
+    json(conn, status, &ErrorBody { error, code })
+}
+
+fn status(error: StoreError) -> (Status, u16) {
+    match error {
+        StoreError::EmptyKey
+        | StoreError::TooLarge
+        | StoreError::TooManyOps
+        | StoreError::DuplicateKey => (Status::BadRequest, INVALID_ARGUMENT),
+        StoreError::LeaseNotFound => (Status::NotFound, NOT_FOUND),
+        StoreError::LeaseExists => (Status::BadRequest, FAILED_PRECONDITION),
+        StoreError::Compacted => (Status::BadRequest, OUT_OF_RANGE),
     }
 }
--- a/components/standin/src/platform/lease.rs
+++ b/components/standin/src/platform/lease.rs
@@ -1,12 +1,12 @@
 //! Leases and the keys attached to them.
 
-use super::{message::Blob, store::Refused};
+use super::{message::Blob, store::StoreError};
 use std::{
     collections::{BTreeSet, HashMap},
     time::{Duration, Instant},
 };
 
-/// First identifier that the store chooses itself.
+/// Base of the lease identifiers that the store chooses. They start one above it.
 const FIRST_ID: i64 = 7_000_000_000;
 
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     keys: BTreeSet<Blob>,
 }
 
-/// All leases. A key is attached to one at most.
+/// All leases. A key is attached to at most one.
 #[derive(Debug, Default)]
 pub(super) struct Leases {
     leases: HashMap<i64, Lease>,
@@ -24,24 +24,24 @@
 }
 
 impl Leases {
-    /// Whether the lease lives.
+    /// Whether the lease exists.
     pub(super) fn contains(&self, id: i64) -> bool {
         self.leases.contains_key(&id)
     }
 
-    /// Grants a lease of `ttl` seconds, called `id` unless that is 0.
-    pub(super) fn grant(&mut self, id: i64, ttl: i64, now: Instant) -> Result<i64, Refused> {
+    /// Grants a lease of `ttl` seconds with the identifier `id`; chooses one if `id` is 0.
+    pub(super) fn grant(&mut self, id: i64, ttl: i64, now: Instant) -> Result<i64, StoreError> {
         self.granted += 1;
         let id = if id == 0 { FIRST_ID + self.granted } else { id };
         if self.contains(id) {
-            return Err(Refused::LeaseExists);
+            return Err(StoreError::LeaseExists);
         }
         let lease = Lease { ttl, deadline: deadline(now, ttl), keys: BTreeSet::new() };
         self.leases.insert(id, lease);
         Ok(id)
     }
 
-    /// Extends a lease. Returns its time to live in seconds, 0 when it is gone.
+    /// Renews a lease. Returns its time to live in seconds; 0 if it doesn't exist.
     pub(super) fn keep_alive(&mut self, id: i64, now: Instant) -> i64 {
         match self.leases.get_mut(&id) {
             None => 0,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Moves a key to a lease; to none if `id` is 0.
+    /// Attaches a key to a lease and detaches it from its former one; only detaches it if `id` is 0.
     pub(super) fn attach(&mut self, key: &Blob, id: i64) {
         for lease in self.leases.values_mut() {
             lease.keys.remove(key);
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Ends a lease. Returns its keys.
-    pub(super) fn revoke(&mut self, id: i64) -> Result<Vec<Blob>, Refused> {
-        let lease = self.leases.remove(&id).ok_or(Refused::NoLease)?;
+    /// Removes a lease. Returns its keys.
+    pub(super) fn revoke(&mut self, id: i64) -> Result<Vec<Blob>, StoreError> {
+        let lease = self.leases.remove(&id).ok_or(StoreError::LeaseNotFound)?;
         Ok(lease.keys.into_iter().collect())
     }
 
-    /// Ends the leases whose time is over. Returns their keys.
+    /// Removes the leases that expired by `now`. Returns their keys.
     pub(super) fn expire(&mut self, now: Instant) -> Vec<Blob> {
-        let over: Vec<_> = self.leases.extract_if(|_, lease| lease.deadline <= now).collect();
-        over.into_iter().flat_map(|(_, lease)| lease.keys).collect()
+        let expired: Vec<_> = self.leases.extract_if(|_, lease| lease.deadline <= now).collect();
+        expired.into_iter().flat_map(|(_, lease)| lease.keys).collect()
     }
 
-    /// Ends all leases. Returns their keys.
+    /// Removes all leases. Returns their keys.
     pub(super) fn clear(&mut self) -> Vec<Blob> {
         self.leases.drain().flat_map(|(_, lease)| lease.keys).collect()
     }
--- a/components/standin/src/platform/message.rs
+++ b/components/standin/src/platform/message.rs
@@ -1,10 +1,10 @@
-//! JSON messages of the gateway, as in the published etcd v3 API. Fields that hold their default
-//! are left out of answers, as the gateway does.
+//! JSON messages of the gateway, as in the published etcd v3 API. Fields with default
+//! values are omitted from responses, as the gateway does.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
-/// A 64-bit number. Written as text; read as text or as a number.
+/// A 64-bit number. Serialized as a JSON string; read from a string or a number.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Int(pub i64);
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Bytes, written in base64.
+/// Bytes, serialized in base64.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Blob(pub Vec<u8>);
 
@@ -50,14 +50,14 @@
     *value == T::default()
 }
 
-/// Heads every answer.
+/// The header of every response.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Header {
-    /// The store's revision when the answer was made.
+    /// The store's revision at the time of the response.
     pub revision: Int,
 }
 
-/// A stored value.
+/// A key with its value and revisions.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KeyValue {
     /// The key.
@@ -67,13 +67,13 @@
     pub create_revision: Int,
     /// Revision of the last write.
     pub mod_revision: Int,
-    /// Writes since the key was created.
+    /// Number of writes since the key was created.
     #[serde(skip_serializing_if = "is_default")]
     pub version: Int,
     /// The value.
     #[serde(skip_serializing_if = "is_default")]
     pub value: Blob,
-    /// The lease it is attached to; 0 if none.
+    /// The lease that the key is attached to; 0 if none.
     #[serde(skip_serializing_if = "is_default")]
     pub lease: Int,
 }
@@ -86,26 +86,26 @@
     pub key: Blob,
     /// End of the range, exclusive; empty for a single key.
     pub range_end: Blob,
-    /// Most values to answer with; no limit if 0.
+    /// Maximum number of values to return; unlimited if 0.
     pub limit: Int,
-    /// Whether a member may answer alone. Changes nothing here.
+    /// Whether one member may respond without consensus. Ignored by the stand-in.
     pub serializable: bool,
-    /// Whether the values are left out.
+    /// Whether values are omitted.
     pub keys_only: bool,
 }
 
-/// Answer to [`RangeRequest`].
+/// Response to [`RangeRequest`].
 #[derive(Clone, Debug, Serialize)]
 pub struct RangeResponse {
-    /// The header.
+    /// The response header.
     pub header: Header,
-    /// In the order of their keys.
+    /// The values, ordered by key.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit left values out.
+    /// Whether values were omitted because of the limit.
     #[serde(skip_serializing_if = "is_default")]
     pub more: bool,
-    /// Values in the range, whatever the limit.
+    /// Number of values in the range, regardless of the limit.
     #[serde(skip_serializing_if = "is_default")]
     pub count: Int,
 }
@@ -118,14 +118,14 @@
     pub key: Blob,
     /// The value.
     pub value: Blob,
-    /// Lease to attach it to; 0 for none.
+    /// Lease to attach the key to; 0 for none.
     pub lease: Int,
 }
 
-/// Answer to [`PutRequest`].
+/// Response to [`PutRequest`].
 #[derive(Clone, Debug, Serialize)]
 pub struct PutResponse {
-    /// The header.
+    /// The response header.
     pub header: Header,
 }
 
@@ -139,21 +139,21 @@
     pub range_end: Blob,
 }
 
-/// Answer to [`DeleteRequest`].
+/// Response to [`DeleteRequest`].
 #[derive(Clone, Debug, Serialize)]
 pub struct DeleteResponse {
-    /// The header.
+    /// The response header.
     pub header: Header,
-    /// Keys removed.
+    /// Number of keys removed.
     #[serde(skip_serializing_if = "is_default")]
     pub deleted: Int,
 }
 
-/// What a comparison looks at.
+/// The property of a key that a comparison uses.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
-    /// Writes since the key was created.
+    /// Number of writes since the key was created.
     #[default]
     Version,
     /// Revision that created the key.
@@ -164,18 +164,18 @@
     Value,
 }
 
-/// How a comparison is made.
+/// The relation that a comparison requires.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Relation {
-    /// The stored one equals the given one.
+    /// The stored property equals the given one.
     #[default]
     Equal,
-    /// The stored one is greater.
+    /// The stored property is greater than the given one.
     Greater,
-    /// The stored one is less.
+    /// The stored property is less than the given one.
     Less,
-    /// They differ.
+    /// The stored property differs from the given one.
     NotEqual,
 }
 
@@ -183,19 +183,19 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// What is compared.
+    /// The property that is compared.
     pub target: Target,
-    /// How.
+    /// The required relation.
     pub result: Relation,
     /// The key.
     pub key: Blob,
-    /// Given for [`Target::Version`].
+    /// Compared for [`Target::Version`].
     pub version: Int,
-    /// Given for [`Target::Create`].
+    /// Compared for [`Target::Create`].
     pub create_revision: Int,
-    /// Given for [`Target::Mod`].
+    /// Compared for [`Target::Mod`].
     pub mod_revision: Int,
-    /// Given for [`Target::Value`].
+    /// Compared for [`Target::Value`].
     pub value: Blob,
 }
 
@@ -218,11 +218,11 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
-    /// All must hold for `success` to be taken.
+    /// Conditions that select `success` if all of them hold.
     pub compare: Vec<Compare>,
-    /// Operations when they hold.
+    /// Operations if all conditions hold.
     pub success: Vec<RequestOp>,
-    /// Operations when one does not.
+    /// Operations if a condition doesn't hold.
     pub failure: Vec<RequestOp>,
 }
 
@@ -230,32 +230,32 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseOp {
-    /// Of a read.
+    /// The result of a read.
     ResponseRange(RangeResponse),
-    /// Of a write.
+    /// The result of a write.
     ResponsePut(PutResponse),
-    /// Of a removal.
+    /// The result of a removal.
     ResponseDeleteRange(DeleteResponse),
 }
 
-/// Answer to [`TxnRequest`].
+/// Response to [`TxnRequest`].
 #[derive(Clone, Debug, Serialize)]
 pub struct TxnResponse {
-    /// The header.
+    /// The response header.
     pub header: Header,
     /// Whether all comparisons held.
     #[serde(skip_serializing_if = "is_default")]
     pub succeeded: bool,
-    /// In the order of the operations.
+    /// The results, in the order of the operations.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub responses: Vec<ResponseOp>,
 }
 
-/// Forgets history before a revision.
+/// Discards the history up to a revision.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct CompactRequest {
-    /// The last revision to forget.
+    /// The last revision to discard.
     pub revision: Int,
 }
 
@@ -266,29 +266,29 @@
     /// Time to live, in seconds.
     #[serde(rename = "TTL")]
     pub ttl: Int,
-    /// Identifier that the caller wants; chosen by the store if 0.
+    /// Requested lease identifier; chosen by the store if 0.
     #[serde(rename = "ID")]
     pub id: Int,
 }
 
-/// Answers about a lease.
+/// Response to [`GrantRequest`] and to [`LeaseRequest`] of a keep-alive.
 #[derive(Clone, Debug, Serialize)]
 pub struct LeaseResponse {
-    /// The header.
+    /// The response header.
     pub header: Header,
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "ID")]
     pub id: Int,
-    /// Time to live, in seconds; 0 when the lease is gone.
+    /// Time to live, in seconds; 0 if the lease doesn't exist.
     #[serde(rename = "TTL", skip_serializing_if = "is_default")]
     pub ttl: Int,
 }
 
-/// Names a lease to keep alive or to revoke.
+/// Keeps a lease alive or revokes it.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "ID")]
     pub id: Int,
 }
@@ -297,11 +297,11 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// The keys to watch.
     pub create_request: WatchCreate,
 }
 
-/// What a watch looks at.
+/// The range and the first revision of a watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
@@ -309,7 +309,7 @@
     pub key: Blob,
     /// End of the range, exclusive; empty for a single key.
     pub range_end: Blob,
-    /// First revision to report; from now on if 0.
+    /// First revision to report; the next one if 0.
     pub start_revision: Int,
 }
 
@@ -327,7 +327,7 @@
 /// A change of one key.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// What happened.
+    /// Whether the key was written or removed.
     #[serde(rename = "type", skip_serializing_if = "is_default")]
     pub kind: EventKind,
     /// The key and, when written, its value.
@@ -337,18 +337,18 @@
 /// One message of a watch.
 #[derive(Clone, Debug, Serialize)]
 pub struct WatchResponse {
-    /// The header.
+    /// The response header.
     pub header: Header,
-    /// Set in the first message.
+    /// True in the first message.
     #[serde(skip_serializing_if = "is_default")]
     pub created: bool,
-    /// Set when the watch is over.
+    /// True if the watch has ended.
     #[serde(skip_serializing_if = "is_default")]
     pub canceled: bool,
-    /// The last forgotten revision, when the watch asked for one of them.
+    /// The last discarded revision, if the watch started at a discarded one.
     #[serde(skip_serializing_if = "is_default")]
     pub compact_revision: Int,
-    /// In the order of their revisions.
+    /// Changes, ordered by revision.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<Event>,
 }
@@ -360,10 +360,10 @@
     pub result: T,
 }
 
-/// A refusal.
+/// The body of an error response.
 #[derive(Clone, Debug, Serialize)]
-pub struct Refusal {
-    /// What is wrong.
+pub struct ErrorBody {
+    /// The error message.
     pub error: String,
     /// The gRPC status code.
     pub code: u16,
--- a/components/standin/src/platform/mod.rs
+++ b/components/standin/src/platform/mod.rs
@@ -15,11 +15,11 @@
 
 pub use self::{
     fault::{Calls, Change, Faults, Report},
-    store::Refused,
+    store::StoreError,
 };
 
 use self::{
-    gateway::{Held, Kind},
+    gateway::{CallKind, HeldChange},
     store::Store,
     watch::Watches,
 };
@@ -34,17 +34,17 @@
 use trillium::Conn;
 use trillium_smol::Stopper;
 
-/// How often ended leases are looked for.
+/// Interval between checks for expired leases.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Everything behind the gateway.
+/// The store, watches, faults and counters behind the gateway.
 #[derive(Debug, Default)]
 struct State {
     store: Store,
     watches: Watches,
     faults: Faults,
     calls: Calls,
-    held: Vec<Held>,
+    held: Vec<HeldChange>,
 }
 
 impl State {
@@ -58,31 +58,31 @@
     }
 
     /// Counts a call. Returns whether the service is down, and the delay in milliseconds.
-    fn count(&mut self, kind: Kind) -> (bool, u64) {
+    fn count_call(&mut self, kind: CallKind) -> (bool, u64) {
         let counter = match kind {
-            Kind::Read => &mut self.calls.reads,
-            Kind::Write => &mut self.calls.writes,
-            Kind::Watch => &mut self.calls.watches,
+            CallKind::Read => &mut self.calls.reads,
+            CallKind::Write => &mut self.calls.writes,
+            CallKind::Watch => &mut self.calls.watches,
         };
         *counter += 1;
         (self.faults.down, self.faults.slow)
     }
 
-    /// Whether the answer to a change is to be lost; uses up one of those to lose.
-    fn loses(&mut self) -> bool {
-        let loses = self.faults.lose_answers > 0;
+    /// Whether the response to a change is lost. Decrements the number of responses to lose.
+    fn consume_lost_answer(&mut self) -> bool {
+        let is_lost = self.faults.lose_answers > 0;
         self.faults.lose_answers = self.faults.lose_answers.saturating_sub(1);
-        loses
+        is_lost
     }
 
-    /// Whether a change is to be held back; uses up one of those to hold.
-    fn holds(&mut self) -> bool {
-        let holds = self.faults.hold_changes > 0;
+    /// Whether a change is held back. Decrements the number of changes to hold.
+    fn consume_held_change(&mut self) -> bool {
+        let is_held = self.faults.hold_changes > 0;
         self.faults.hold_changes = self.faults.hold_changes.saturating_sub(1);
-        holds
+        is_held
     }
 
-    fn change(&mut self, change: Change) {
+    fn change_faults(&mut self, change: Change) {
         let faults = &mut self.faults;
         faults.down = change.down.unwrap_or(faults.down);
         faults.slow = change.slow.unwrap_or(faults.slow);
@@ -115,7 +115,7 @@
 }
 
 impl Platform {
-    /// Starts to serve on `address`; the system chooses a port if it gives none.
+    /// Starts to serve on `address`; the operating system chooses the port if it is 0.
     ///
     /// # Errors
     ///
@@ -137,23 +137,23 @@
         Ok(Platform { address, state, stopper, _expiry })
     }
 
-    /// Where it listens.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses new connections from now on and ends all watches.
+    /// Stops accepting connections and closes all watches.
     pub fn stop(&self) {
         self.stopper.stop();
         self.state.lock().watches.cut();
     }
 
-    /// Changes the faults in force.
+    /// Changes the active faults.
     pub fn change(&self, change: Change) {
-        self.state.lock().change(change);
+        self.state.lock().change_faults(change);
     }
 
-    /// Switches [`Faults::down`].
+    /// Sets [`Faults::down`].
     pub fn down(&self, down: bool) {
         self.change(Change { down: Some(down), ..Change::default() });
     }
@@ -173,7 +173,7 @@
         self.change(Change { hold_changes: Some(count), ..Change::default() });
     }
 
-    /// Lets the changes held back take effect.
+    /// Applies the changes that are held back.
     pub fn release(&self) {
         self.change(Change { release: true, ..Change::default() });
     }
@@ -183,29 +183,30 @@
         self.change(Change { lag: Some(prefix.to_owned()), ..Change::default() });
     }
 
-    /// Ends all leases.
+    /// Expires all leases.
     pub fn expire_leases(&self) {
         self.change(Change { expire_leases: true, ..Change::default() });
     }
 
-    /// Ends all open watches.
+    /// Closes all open watches.
     pub fn cut_watches(&self) {
         self.change(Change { cut_watches: true, ..Change::default() });
     }
 
-    /// Forgets the history of changes up to now, so that a watch from earlier on is refused.
+    /// Discards the history of changes up to now, so that a watch from an earlier revision is
+    /// rejected.
     pub fn compact(&self) {
         let store = &mut self.state.lock().store;
-        // Refused only when there is nothing to forget.
+        // Fails only if there is nothing to discard.
         let _ = store.compact(store.revision);
     }
 
-    /// Faults in force.
+    /// Returns the active faults.
     pub fn faults(&self) -> Faults {
         self.state.lock().faults.clone()
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> Calls {
         self.state.lock().calls
     }
--- a/components/standin/src/platform/store.rs
+++ b/components/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The stored keys, their history and their leases.
+//! The stored keys, their history and their leases. Checks requests as the published service does.
 
 use super::{
     lease::Leases,
@@ -14,18 +14,18 @@
     time::Instant,
 };
 
-/// Most operations of one transaction, as the published default.
-const TXN_OPS: usize = 128;
-/// Largest value, in bytes.
-const VALUE_LIMIT: usize = 1 << 20;
+/// Maximum number of operations of a transaction, the published default.
+const MAX_TXN_OPS: usize = 128;
+/// Maximum size of a value.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Why a request is refused.
+/// The reason why a request was rejected.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
-pub enum Refused {
+pub enum StoreError {
     /// A key is missing from the request.
     #[display("etcdserver: key is not provided")]
     EmptyKey,
-    /// A value exceeds a megabyte.
+    /// A value exceeds one mebibyte.
     #[display("etcdserver: request is too large")]
     TooLarge,
     /// A transaction has too many operations.
@@ -34,28 +34,29 @@
     /// A transaction writes a key twice.
     #[display("etcdserver: duplicate key given in txn request")]
     DuplicateKey,
-    /// The lease is gone.
+    /// The lease doesn't exist or has expired.
     #[display("etcdserver: requested lease not found")]
-    NoLease,
+    LeaseNotFound,
     /// The identifier of the lease is in use.
     #[display("etcdserver: lease already exists")]
     LeaseExists,
-    /// The revision was forgotten before.
+    /// The revision has already been compacted.
     #[display("etcdserver: mvcc: required revision has been compacted")]
     Compacted,
 }
 
-/// A span of keys, from `start` up to `end`; one key if `end` is empty.
+/// A range of keys from `start` up to `end`. A single key if `end` is empty; without an upper bound
+/// if `end` is a single zero byte.
 #[derive(Clone, Debug)]
-pub(super) struct Span {
+pub(super) struct KeyRange {
     /// First key.
     pub(super) start: Blob,
-    /// End, exclusive.
+    /// End of the range, exclusive.
     pub(super) end: Blob,
 }
 
-impl Span {
-    /// Whether the span holds `key`.
+impl KeyRange {
+    /// Whether `key` is in the range.
     pub(super) fn contains(&self, key: &Blob) -> bool {
         match self.end.0.is_empty() {
             true => *key == self.start,
@@ -64,23 +65,23 @@
     }
 }
 
-/// The service's memory.
+/// The keys with their history and leases.
 #[derive(Debug)]
 pub(super) struct Store {
-    /// Grows by one with each write or transaction that writes.
+    /// Incremented by each write and each transaction that writes.
     pub(super) revision: i64,
-    /// The last forgotten revision.
+    /// The last compacted revision.
     pub(super) compacted: i64,
     records: BTreeMap<Blob, KeyValue>,
     log: Vec<Event>,
-    /// Leases and the keys that they hold.
+    /// Leases and the keys attached to them.
     pub(super) leases: Leases,
-    lagging: Option<Lagging>,
+    lagging_copy: Option<LaggingCopy>,
 }
 
-/// An older copy of the keys under a prefix.
+/// An older copy of the store, from which the keys under a prefix are served.
 #[derive(Debug)]
-struct Lagging {
+struct LaggingCopy {
     prefix: Vec<u8>,
     revision: i64,
     records: BTreeMap<Blob, KeyValue>,
@@ -94,59 +95,64 @@
             records: BTreeMap::new(),
             log: Vec::new(),
             leases: Leases::default(),
-            lagging: None,
+            lagging_copy: None,
         }
     }
 }
 
 impl Store {
-    /// Serves the keys under `prefix` as they are now, until told otherwise.
+    /// Serves the keys under `prefix` as they are now until the next call; `None` serves current
+    /// ones.
     pub(super) fn lag(&mut self, prefix: Option<&str>) {
-        self.lagging = prefix.map(|prefix| Lagging {
+        self.lagging_copy = prefix.map(|prefix| LaggingCopy {
             prefix: prefix.as_bytes().to_vec(),
             revision: self.revision,
             records: self.records.clone(),
         });
     }
 
-    /// Whether reads of the span see an older copy.
-    pub(super) fn lags(&self, span: &Span) -> bool {
-        self.lagging.as_ref().is_some_and(|lagging| span.start.0.starts_with(&lagging.prefix))
+    /// Whether reads of the range return an older copy.
+    pub(super) fn is_lagging(&self, range: &KeyRange) -> bool {
+        self.lagging_copy
+            .as_ref()
+            .is_some_and(|lagging_copy| range.start.0.starts_with(&lagging_copy.prefix))
     }
 
-    /// Header of an answer made now.
+    /// Returns the header of a response at the present revision.
     pub(super) fn header(&self) -> Header {
         Header { revision: Int(self.revision) }
     }
 
-    /// Events of the span from revision `from` on.
-    pub(super) fn events(&self, span: &Span, from: i64) -> Vec<Event> {
+    /// Returns the events of the range from revision `from` on.
+    pub(super) fn events(&self, range: &KeyRange, from: i64) -> Vec<Event> {
         self.log
             .iter()
-            .filter(|event| event.kv.mod_revision.0 >= from && span.contains(&event.kv.key))
+            .filter(|event| event.kv.mod_revision.0 >= from && range.contains(&event.kv.key))
             .cloned()
             .collect()
     }
 
-    /// Forgets events up to `revision`.
-    pub(super) fn compact(&mut self, revision: i64) -> Result<(), Refused> {
+    /// Discards events up to `revision`.
+    pub(super) fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
         if revision <= self.compacted {
-            return Err(Refused::Compacted);
+            return Err(StoreError::Compacted);
         }
         self.compacted = revision;
         self.log.retain(|event| event.kv.mod_revision.0 > revision);
         Ok(())
     }
 
-    /// Reads.
+    /// Reads a key or a range of keys.
     pub(super) fn range(&self, request: RangeRequest) -> RangeResponse {
-        let span = Span { start: request.key, end: request.range_end };
-        let (records, revision) = match &self.lagging {
-            Some(lagging) if self.lags(&span) => (&lagging.records, lagging.revision),
+        let range = KeyRange { start: request.key, end: request.range_end };
+        let (records, revision) = match &self.lagging_copy {
+            Some(lagging_copy) if self.is_lagging(&range) => {
+                (&lagging_copy.records, lagging_copy.revision)
+            }
             _ => (&self.records, self.revision),
         };
         let mut kvs: Vec<_> =
-            records.values().filter(|record| span.contains(&record.key)).cloned().collect();
+            records.values().filter(|record| range.contains(&record.key)).cloned().collect();
         let count = kvs.len();
         if request.limit.0 > 0 {
             kvs.truncate(request.limit.0 as usize);
@@ -162,15 +168,15 @@
         }
     }
 
-    /// Writes.
-    pub(super) fn put(&mut self, request: PutRequest) -> Result<PutResponse, Refused> {
+    /// Writes a key.
+    pub(super) fn put(&mut self, request: PutRequest) -> Result<PutResponse, StoreError> {
         self.check_put(&request)?;
         self.revision += 1;
         self.write(request);
         Ok(PutResponse { header: self.header() })
     }
 
-    /// Removes.
+    /// Removes a key or a range of keys.
     pub(super) fn delete(&mut self, request: DeleteRequest) -> DeleteResponse {
         let deleted = self.remove(request, self.revision + 1);
         if deleted > 0 {
@@ -179,13 +185,13 @@
         DeleteResponse { header: self.header(), deleted: Int(deleted) }
     }
 
-    /// Compares, then reads and writes, in one step.
-    pub(super) fn txn(&mut self, request: TxnRequest) -> Result<TxnResponse, Refused> {
+    /// Evaluates the conditions and applies the selected operations atomically.
+    pub(super) fn txn(&mut self, request: TxnRequest) -> Result<TxnResponse, StoreError> {
         self.check_ops(&request.success)?;
         self.check_ops(&request.failure)?;
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = request.compare.iter().all(|compare| self.is_satisfied(compare));
         let ops = if succeeded { request.success } else { request.failure };
-        let next = self.revision + 1;
+        let next_revision = self.revision + 1;
         let mut written = false;
         let mut responses = Vec::new();
         for op in ops {
@@ -193,11 +199,11 @@
                 RequestOp::RequestRange(range) => ResponseOp::ResponseRange(self.range(range)),
                 RequestOp::RequestPut(put) => {
                     written = true;
-                    self.write_at(put, next);
+                    self.write_at(put, next_revision);
                     ResponseOp::ResponsePut(PutResponse { header: self.header() })
                 }
                 RequestOp::RequestDeleteRange(delete) => {
-                    let deleted = self.remove(delete, next);
+                    let deleted = self.remove(delete, next_revision);
                     written |= deleted > 0;
                     let header = self.header();
                     ResponseOp::ResponseDeleteRange(DeleteResponse {
@@ -208,25 +214,25 @@
             });
         }
         if written {
-            self.revision = next;
+            self.revision = next_revision;
         }
         Ok(TxnResponse { header: self.header(), succeeded, responses })
     }
 
-    /// Removes the keys of leases that ended by `now`.
+    /// Removes the leases that expired by `now`, and their keys.
     pub(super) fn expire(&mut self, now: Instant) {
         let keys = self.leases.expire(now);
         self.remove_all(keys);
     }
 
-    /// Ends every lease.
+    /// Removes all leases and their keys.
     pub(super) fn expire_all(&mut self) {
         let keys = self.leases.clear();
         self.remove_all(keys);
     }
 
-    /// Ends one lease.
-    pub(super) fn revoke(&mut self, id: i64) -> Result<(), Refused> {
+    /// Removes a lease and its keys.
+    pub(super) fn revoke(&mut self, id: i64) -> Result<(), StoreError> {
         let keys = self.leases.revoke(id)?;
         self.remove_all(keys);
         Ok(())
@@ -242,32 +248,34 @@
         }
     }
 
-    fn check_put(&self, request: &PutRequest) -> Result<(), Refused> {
+    fn check_put(&self, request: &PutRequest) -> Result<(), StoreError> {
         match request {
-            put if put.key.0.is_empty() => Err(Refused::EmptyKey),
-            put if put.value.0.len() > VALUE_LIMIT => Err(Refused::TooLarge),
-            put if put.lease.0 != 0 && !self.leases.contains(put.lease.0) => Err(Refused::NoLease),
+            put if put.key.0.is_empty() => Err(StoreError::EmptyKey),
+            put if put.value.0.len() > MAX_VALUE_BYTES => Err(StoreError::TooLarge),
+            put if put.lease.0 != 0 && !self.leases.contains(put.lease.0) => {
+                Err(StoreError::LeaseNotFound)
+            }
             _ => Ok(()),
         }
     }
 
-    fn check_ops(&self, ops: &[RequestOp]) -> Result<(), Refused> {
-        if ops.len() > TXN_OPS {
-            return Err(Refused::TooManyOps);
+    fn check_ops(&self, ops: &[RequestOp]) -> Result<(), StoreError> {
+        if ops.len() > MAX_TXN_OPS {
+            return Err(StoreError::TooManyOps);
         }
         let mut keys = HashSet::new();
         for op in ops {
             if let RequestOp::RequestPut(put) = op {
                 self.check_put(put)?;
                 if !keys.insert(&put.key) {
-                    return Err(Refused::DuplicateKey);
+                    return Err(StoreError::DuplicateKey);
                 }
             }
         }
         Ok(())
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let record = self.records.get(&compare.key);
         let number = |of: fn(&KeyValue) -> Int| record.map(of).unwrap_or_default();
         let order = match compare.target {
@@ -307,8 +315,8 @@
     }
 
     fn remove(&mut self, request: DeleteRequest, revision: i64) -> i64 {
-        let span = Span { start: request.key, end: request.range_end };
-        let keys: Vec<_> = self.records.keys().filter(|key| span.contains(key)).cloned().collect();
+        let range = KeyRange { start: request.key, end: request.range_end };
+        let keys: Vec<_> = self.records.keys().filter(|key| range.contains(key)).cloned().collect();
         for key in &keys {
             self.records.remove(key);
             self.leases.attach(key, 0);
--- a/components/standin/src/platform/watch.rs
+++ b/components/standin/src/platform/watch.rs
@@ -1,8 +1,8 @@
-//! Open watches.
+//! Open watches: collects the events of each and streams them as lines of JSON.
 
 use super::{
     message::{Streamed, WatchCreate, WatchResponse},
-    store::{Span, Store},
+    store::{KeyRange, Store},
 };
 use smol::{
     channel::{Receiver, Sender, unbounded},
@@ -15,15 +15,15 @@
     task::{Context, Poll, ready},
 };
 
-/// Length that the first line is filled up to. The HTTP library holds back the head and the start
+/// Length that the first line is padded to. The HTTP library buffers the response head and the start
 /// of a streamed body until its buffer is full.
-const FIRST_LINE: usize = 4096;
+const FIRST_LINE_BYTES: usize = 4096;
 
 #[derive(Debug)]
 struct Watch {
-    span: Span,
-    /// First revision not sent yet.
-    next: i64,
+    range: KeyRange,
+    /// First revision that hasn't been sent.
+    next_revision: i64,
     sender: Sender<Vec<u8>>,
 }
 
@@ -34,19 +34,19 @@
 }
 
 impl Watches {
-    /// Opens a watch.
-    pub(super) fn open(&mut self, store: &Store, request: WatchCreate) -> Lines {
+    /// Opens a watch and returns its response body. Cancels it if its first revision is compacted.
+    pub(super) fn open(&mut self, store: &Store, request: WatchCreate) -> WatchBody {
         let (sender, receiver) = unbounded();
-        let next = match request.start_revision.0 {
+        let next_revision = match request.start_revision.0 {
             0 => store.revision + 1,
             revision => revision,
         };
-        let compacted = next <= store.compacted;
+        let compacted = next_revision <= store.compacted;
         let mut first = line(store, |response| {
             response.created = true;
         });
         first.truncate(first.len() - 1);
-        first.resize(FIRST_LINE, b' ');
+        first.resize(FIRST_LINE_BYTES, b' ');
         first.push(b'\n');
         let _ = sender.try_send(first);
         if compacted {
@@ -55,32 +55,32 @@
                 response.compact_revision.0 = store.compacted;
             }));
         } else {
-            let span = Span { start: request.key, end: request.range_end };
-            self.open.push(Watch { span, next, sender });
+            let range = KeyRange { start: request.key, end: request.range_end };
+            self.open.push(Watch { range, next_revision, sender });
             self.publish(store);
         }
-        Lines { receiver: Box::pin(receiver), pending: Vec::new(), sent: 0 }
+        WatchBody { receiver: Box::pin(receiver), pending: Vec::new(), sent: 0 }
     }
 
-    /// Sends what the watches have not seen yet.
+    /// Sends new events to the watches. Those on lagging keys get none.
     pub(super) fn publish(&mut self, store: &Store) {
         self.open.retain(|watch| !watch.sender.is_closed());
-        for watch in self.open.iter_mut().filter(|watch| !store.lags(&watch.span)) {
-            let events = store.events(&watch.span, watch.next);
-            watch.next = watch.next.max(store.revision + 1);
+        for watch in self.open.iter_mut().filter(|watch| !store.is_lagging(&watch.range)) {
+            let events = store.events(&watch.range, watch.next_revision);
+            watch.next_revision = watch.next_revision.max(store.revision + 1);
             if !events.is_empty() {
                 let _ = watch.sender.try_send(line(store, |response| response.events = events));
             }
         }
     }
 
-    /// Ends all watches.
+    /// Closes all watches.
     pub(super) fn cut(&mut self) {
         self.open.clear();
     }
 }
 
-fn line(store: &Store, fill: impl FnOnce(&mut WatchResponse)) -> Vec<u8> {
+fn line(store: &Store, set_fields: impl FnOnce(&mut WatchResponse)) -> Vec<u8> {
     let mut response = WatchResponse {
         header: store.header(),
         created: false,
@@ -88,20 +88,20 @@
         compact_revision: Default::default(),
         events: Vec::new(),
     };
-    fill(&mut response);
+    set_fields(&mut response);
     let mut line = serde_json::to_vec(&Streamed { result: response }).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-/// Body of the answer to a watch.
-pub(super) struct Lines {
+/// The streamed response body of a watch.
+pub(super) struct WatchBody {
     receiver: Pin<Box<Receiver<Vec<u8>>>>,
     pending: Vec<u8>,
     sent: usize,
 }
 
-impl AsyncRead for Lines {
+impl AsyncRead for WatchBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -124,10 +124,10 @@
     }
 }
 
-/// A body that fails at once, so that the connection closes without an answer.
-pub(super) struct Broken;
+/// A response body that fails at once, so that the connection is closed without a response.
+pub(super) struct AbortedBody;
 
-impl AsyncRead for Broken {
+impl AsyncRead for AbortedBody {
     fn poll_read(
         self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
--- a/components/standin/src/request.rs
+++ b/components/standin/src/request.rs
@@ -1,4 +1,4 @@
-//! What a task asks of a stand-in.
+//! Parses the body of a task for the stand-ins of executors and workers.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -9,18 +9,18 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Request {
-    /// Run time in milliseconds.
+    /// Run time in milliseconds; the stand-in's default if absent.
     ms: Option<u64>,
-    /// Returned in the answer.
+    /// Returned in the response.
     pub(crate) echo: Value,
-    /// Status of the answer.
+    /// Status of the response; 200 if absent.
     pub(crate) status: Option<u16>,
-    /// What the task really uses, on a worker; what it declared if absent.
+    /// Resource usage that a worker reports for the task; the declared resources if absent.
     pub(crate) uses: Option<Resources>,
 }
 
 impl Request {
-    /// An empty body is a task with defaults.
+    /// Parses a body. An empty one is a task with defaults.
     pub(crate) fn parse(body: &str) -> serde_json::Result<Request> {
         if body.is_empty() { Ok(Request::default()) } else { serde_json::from_str(body) }
     }
--- a/components/standin/src/serve/control.rs
+++ b/components/standin/src/serve/control.rs
@@ -1,8 +1,8 @@
-//! The requests that steer a stand-in: `GET /ledger`, `GET /faults` and `POST /faults`.
+//! The control API of a stand-in: `GET /ledger`, `GET /faults` and `POST /faults`.
 
 use crate::{
     fault::Faults,
-    serve::{Listener, Node},
+    serve::{EndpointState, Listener},
 };
 use parking_lot::Mutex;
 use std::{
@@ -11,32 +11,32 @@
 };
 use trillium::{Conn, KnownHeaderName, Method, Status};
 
-/// Steers one stand-in.
+/// Serves the control API of one stand-in.
 #[derive(Clone)]
 pub(crate) struct Control {
-    node: Arc<Node>,
-    /// Set once the stand-in listens.
+    endpoint: Arc<EndpointState>,
+    /// Empty until the stand-in listens.
     listener: Arc<Mutex<Weak<Listener>>>,
 }
 
 impl Control {
-    pub(crate) fn new(node: Arc<Node>) -> Control {
-        Control { node, listener: Arc::default() }
+    pub(crate) fn new(endpoint: Arc<EndpointState>) -> Control {
+        Control { endpoint, listener: Arc::default() }
     }
 
     pub(crate) fn set_listener(&self, listener: &Arc<Listener>) {
         *self.listener.lock() = Arc::downgrade(listener);
     }
 
-    /// Whether a request is one of these.
-    pub(crate) fn takes(conn: &Conn) -> bool {
+    /// Whether a request belongs to the control API.
+    pub(crate) fn is_control_request(conn: &Conn) -> bool {
         matches!(conn.path(), "/ledger" | "/faults")
     }
 
     pub(crate) async fn serve(&self, mut conn: Conn) -> Conn {
         match (conn.method(), conn.path()) {
-            (Method::Get, "/ledger") => json(conn, &self.node.ledger.records()),
-            (Method::Get, "/faults") => json(conn, &self.node.faults()),
+            (Method::Get, "/ledger") => json(conn, &self.endpoint.ledger.records()),
+            (Method::Get, "/faults") => json(conn, &self.endpoint.faults()),
             (Method::Post, "/faults") => {
                 let body = conn.request_body_string().await.unwrap_or_default();
                 match serde_json::from_str(&body) {
@@ -54,23 +54,24 @@
         }
     }
 
-    /// Replaces all faults. A death takes place in the background.
+    /// Replaces all faults. If `dead_for` is set, the endpoint is killed and restarted in the
+    /// background.
     pub(crate) fn set(&self, faults: Faults) {
-        self.node.set_faults(faults);
+        self.endpoint.set_faults(faults);
         let listener = self.listener.lock().upgrade();
         if let (Some(millis), Some(listener)) = (faults.dead_for, listener) {
-            smol::spawn(die(listener, Duration::from_millis(millis))).detach();
+            smol::spawn(kill_for(listener, Duration::from_millis(millis))).detach();
         }
     }
 }
 
-async fn die(listener: Arc<Listener>, pause: Duration) {
+async fn kill_for(listener: Arc<Listener>, pause: Duration) {
     listener.kill().await;
     if pause.is_zero() {
         return;
     }
     smol::Timer::after(pause).await;
-    if let Err(error) = listener.revive() {
+    if let Err(error) = listener.restart() {
         tracing::error!("can't listen again on {}: {error}", listener.address);
     }
 }
--- a/components/standin/src/serve/node.rs
+++ b/components/standin/src/serve/endpoint.rs
@@ -1,4 +1,4 @@
-//! The state of one endpoint's stand-in that does not depend on its kind.
+//! The state that the stand-ins for executors and workers have in common.
 
 use crate::{
     fault::{Faults, Silence},
@@ -10,28 +10,28 @@
 use std::{collections::HashSet, net::SocketAddr};
 use trillium::Conn;
 
-/// One endpoint's stand-in.
+/// The name, ledger, faults and connections of one endpoint's stand-in.
 #[derive(Debug)]
-pub(crate) struct Node {
+pub(crate) struct EndpointState {
     pub(crate) name: String,
     pub(crate) ledger: Ledger,
     state: Mutex<State>,
-    /// Notified when every connection is cut.
+    /// Notified when all connections are cut.
     cut: Event,
 }
 
 #[derive(Debug, Default)]
 struct State {
     faults: Faults,
-    /// The other ends of all connections that carried a request.
+    /// Peer addresses of all connections that carried a request.
     peers: HashSet<SocketAddr>,
-    /// The other ends of the connections that have gone silent.
+    /// Peer addresses of the connections that lose their traffic.
     silent: HashSet<SocketAddr>,
-    /// Counts the cuts, so that a request notices one that came before it listened.
+    /// Number of cuts, so that a request detects one that happened before it waited for `cut`.
     cuts: u64,
 }
 
-/// The attempt that a request names.
+/// The task and attempt ids in the headers of a request; empty if absent.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) task: String,
@@ -48,10 +48,10 @@
     }
 }
 
-impl Node {
-    pub(crate) fn new(name: &str, ledger: Ledger) -> Node {
+impl EndpointState {
+    pub(crate) fn new(name: &str, ledger: Ledger) -> EndpointState {
         let name = name.to_owned();
-        Node { name, ledger, state: Mutex::default(), cut: Event::new() }
+        EndpointState { name, ledger, state: Mutex::default(), cut: Event::new() }
     }
 
     pub(crate) fn record(&self, attempt: &Attempt, step: Step) {
@@ -74,33 +74,34 @@
         }
     }
 
-    /// Whether this task is to fail; uses up one of those to fail.
-    pub(crate) fn takes_failure(&self) -> bool {
+    /// Whether this task fails. Decrements the number of tasks to fail.
+    pub(crate) fn consume_failure(&self) -> bool {
         let faults = &mut self.state.lock().faults;
         let fails = faults.fail_everything || faults.fail_next > 0;
         faults.fail_next = faults.fail_next.saturating_sub(1);
         fails
     }
 
-    /// Notes the connection of a request. Returns which half of its traffic is lost.
-    pub(crate) fn meet(&self, peer: SocketAddr) -> Option<Silence> {
+    /// Records the connection of a request. Returns which half of its traffic is lost, if any.
+    pub(crate) fn register_connection(&self, peer: SocketAddr) -> Option<Silence> {
         let mut state = self.state.lock();
         state.peers.insert(peer);
         state.silent.contains(&peer).then_some(state.faults.silent).flatten()
     }
 
-    /// Whether the connection lost its answers since the request arrived.
+    /// Whether the connection loses its responses by now; the fault may have been set after the
+    /// request arrived.
     pub(crate) fn loses_answer(&self, peer: SocketAddr) -> bool {
         let state = self.state.lock();
         state.faults.silent.is_some() && state.silent.contains(&peer)
     }
 
-    /// The number of cuts so far.
+    /// Returns the number of cuts so far.
     pub(crate) fn cuts(&self) -> u64 {
         self.state.lock().cuts
     }
 
-    /// Ends all requests and forgets the connections.
+    /// Aborts all requests and forgets their connections.
     pub(crate) fn cut(&self) {
         let mut state = self.state.lock();
         state.cuts += 1;
@@ -110,7 +111,7 @@
         self.cut.notify(usize::MAX);
     }
 
-    /// Waits for a cut after the first `seen`.
+    /// Waits until there have been more than `seen` cuts.
     pub(crate) async fn until_cut(&self, seen: u64) {
         loop {
             let cut = self.cut.listen();
--- a/components/standin/src/serve/host.rs
+++ b/components/standin/src/serve/host.rs
@@ -1,46 +1,47 @@
-//! What the stand-ins for endpoints are to whoever steers them.
+//! The part of an endpoint's stand-in that tests use: address, faults, ledger, kill and restart.
 
 use crate::{
     Faults, Ledger,
-    serve::{Control, Listener, Node},
+    serve::{Control, EndpointState, Listener},
 };
 use std::{io, net::SocketAddr, sync::Arc};
 use trillium::Handler;
 
-/// An endpoint that listens, can be steered, killed and revived. Stops when it is dropped.
+/// A listening endpoint whose faults can be set, and that can be killed and restarted. Stops when it
+/// is dropped.
 pub struct Host {
     listener: Arc<Listener>,
     control: Control,
-    node: Arc<Node>,
+    endpoint: Arc<EndpointState>,
 }
 
 impl Host {
-    /// Starts to answer with `handler` on `address`.
+    /// Starts to serve `handler` on `address` with at most `connections` connections.
     pub(crate) fn spawn(
         address: SocketAddr,
         connections: usize,
-        node: Arc<Node>,
+        endpoint: Arc<EndpointState>,
         control: Control,
         handler: impl Handler + Clone,
     ) -> io::Result<Host> {
-        let listener = Listener::spawn(address, Arc::clone(&node), connections, handler)?;
+        let listener = Listener::spawn(address, Arc::clone(&endpoint), connections, handler)?;
         control.set_listener(&listener);
-        Ok(Host { listener, control, node })
+        Ok(Host { listener, control, endpoint })
     }
 
-    /// Where it listens.
+    /// Returns the address that the endpoint listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
 
-    /// Connections open now.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.listener.connections()
     }
 
-    /// What it ran and refused, and what other stand-ins did that share the ledger.
+    /// Returns the ledger, which other stand-ins may share.
     pub fn ledger(&self) -> &Ledger {
-        &self.node.ledger
+        &self.endpoint.ledger
     }
 
     /// Replaces all faults.
@@ -48,12 +49,12 @@
         self.control.set(faults);
     }
 
-    /// Cuts all connections and stops to listen. Once it returns, connecting is refused.
+    /// Closes all connections and stops listening. Once it returns, connections are refused.
     pub async fn kill(&self) {
         self.listener.kill().await;
     }
 
-    /// Stops to accept requests, finishes those in progress, and waits until every connection is
+    /// Stops accepting requests, finishes those in progress, and waits until every connection is
     /// closed.
     pub async fn drain(&self) {
         self.listener.drain().await;
@@ -64,7 +65,7 @@
     /// # Errors
     ///
     /// When the address can't be bound.
-    pub fn revive(&self) -> io::Result<()> {
-        self.listener.revive()
+    pub fn restart(&self) -> io::Result<()> {
+        self.listener.restart()
     }
 }
--- a/components/standin/src/serve/listener.rs
+++ b/components/standin/src/serve/listener.rs
@@ -1,6 +1,6 @@
-//! Listening, and stopping to listen without a trace.
+//! Starts and stops the server of an endpoint on a fixed address.
 
-use crate::serve::Node;
+use crate::serve::EndpointState;
 use parking_lot::Mutex;
 use std::{
     io,
@@ -11,20 +11,20 @@
 use trillium_server_common::ServerHandle;
 use trillium_smol::async_net;
 
-/// Listens on one address, also after it was killed.
+/// A server on one address, which it keeps over a kill and a restart.
 pub(crate) struct Listener {
     pub(crate) address: SocketAddr,
-    node: Arc<Node>,
+    endpoint: Arc<EndpointState>,
     /// Starts a server on a socket.
     start: Box<dyn Fn(async_net::TcpListener) -> ServerHandle + Send + Sync>,
-    /// The server that runs now, or ran last.
+    /// The running server, or the last one if it was killed.
     server: Mutex<ServerHandle>,
 }
 
 impl Listener {
     pub(crate) fn spawn(
         address: SocketAddr,
-        node: Arc<Node>,
+        endpoint: Arc<EndpointState>,
         connections: usize,
         handler: impl Handler + Clone,
     ) -> io::Result<Arc<Listener>> {
@@ -38,23 +38,23 @@
                 .spawn(handler.clone())
         });
         let server = Mutex::new(start(socket));
-        Ok(Arc::new(Listener { address, node, start, server }))
+        Ok(Arc::new(Listener { address, endpoint, start, server }))
     }
 
-    /// Connections open now.
+    /// Returns the number of open connections.
     pub(crate) fn connections(&self) -> usize {
         self.server.lock().observer().current()
     }
 
-    /// Cuts all connections and stops to listen. Once it returns, connecting is refused.
+    /// Closes all connections and stops listening. Once it returns, connections are refused.
     pub(crate) async fn kill(&self) {
         let server = self.server.lock().clone();
         server.stopper().stop();
-        self.node.cut();
+        self.endpoint.cut();
         server.stop().await;
     }
 
-    /// Stops to accept requests, finishes those in progress, and waits until every connection is
+    /// Stops accepting requests, finishes those in progress, and waits until every connection is
     /// closed.
     pub(crate) async fn drain(&self) {
         let server = self.server.lock().clone();
@@ -62,7 +62,7 @@
     }
 
     /// Listens again on the same address.
-    pub(crate) fn revive(&self) -> io::Result<()> {
+    pub(crate) fn restart(&self) -> io::Result<()> {
         let (socket, _) = bind(self.address)?;
         *self.server.lock() = (self.start)(socket);
         Ok(())
@@ -72,7 +72,7 @@
 impl Drop for Listener {
     fn drop(&mut self) {
         self.server.lock().stopper().stop();
-        self.node.cut();
+        self.endpoint.cut();
     }
 }
 
--- a/components/standin/src/serve/loopback.rs
+++ b/components/standin/src/serve/loopback.rs
@@ -1,4 +1,4 @@
-//! A server on a loopback address.
+//! A server on a loopback address, for stand-ins and tests with their own handlers.
 
 use super::listener::bind;
 use std::{io, net::SocketAddr};
@@ -8,13 +8,13 @@
 /// A server on a loopback address. Stops when it is dropped.
 #[derive(Debug)]
 pub struct Loopback {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     stopper: Stopper,
 }
 
 impl Loopback {
-    /// Answers with `handler` on a port that the system chooses.
+    /// Serves `handler` on a port that the operating system chooses.
     ///
     /// # Errors
     ///
--- a/components/standin/src/serve/mod.rs
+++ b/components/standin/src/serve/mod.rs
@@ -1,15 +1,15 @@
-//! What the stand-ins for endpoints share: listening, connections, faults and the ledger.
+//! The HTTP server, connections, faults and control API that the stand-ins for endpoints share.
 
-mod answer;
 mod control;
+mod endpoint;
 mod host;
 mod listener;
 mod loopback;
-mod node;
+mod response;
 
-pub(crate) use answer::{Answer, serve};
 pub(crate) use control::Control;
+pub(crate) use endpoint::{Attempt, EndpointState};
 pub use host::Host;
 pub(crate) use listener::Listener;
 pub use loopback::Loopback;
-pub(crate) use node::{Attempt, Node};
+pub(crate) use response::{Response, serve};
--- a/components/standin/src/worker/lease.rs
+++ b/components/standin/src/worker/lease.rs
@@ -5,7 +5,7 @@
 use smol::{Timer, future::FutureExt};
 use std::time::{Duration, Instant};
 
-/// A lease. The task may run until it lapses or is revoked.
+/// A lease. The task may run until it expires or is revoked.
 #[derive(Debug)]
 pub(super) struct Lease {
     state: Mutex<State>,
@@ -15,27 +15,27 @@
 
 #[derive(Clone, Copy, Debug)]
 struct State {
-    until: Instant,
+    deadline: Instant,
     revoked: bool,
 }
 
-/// Why a task must stop.
+/// The reason why a lease ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum End {
-    /// Nobody renewed the lease.
-    Lapsed,
+pub(super) enum LeaseEnd {
+    /// The lease wasn't renewed in time.
+    Expired,
     /// The lease was revoked.
     Revoked,
 }
 
 impl Lease {
     pub(super) fn new(length: Duration) -> Lease {
-        let state = State { until: Instant::now() + length, revoked: false };
+        let state = State { deadline: Instant::now() + length, revoked: false };
         Lease { state: Mutex::new(state), changed: Event::new() }
     }
 
     pub(super) fn renew(&self, length: Duration) {
-        self.state.lock().until = Instant::now() + length;
+        self.state.lock().deadline = Instant::now() + length;
         self.changed.notify(usize::MAX);
     }
 
@@ -44,21 +44,21 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until the task must stop.
-    pub(super) async fn end(&self) -> End {
+    /// Waits until the lease expires or is revoked.
+    pub(super) async fn end(&self) -> LeaseEnd {
         loop {
             let changed = self.changed.listen();
             let state = *self.state.lock();
             if state.revoked {
-                return End::Revoked;
+                return LeaseEnd::Revoked;
             }
-            if state.until <= Instant::now() {
-                return End::Lapsed;
+            if state.deadline <= Instant::now() {
+                return LeaseEnd::Expired;
             }
-            let lapse = async {
-                Timer::at(state.until).await;
+            let expiry = async {
+                Timer::at(state.deadline).await;
             };
-            changed.or(lapse).await;
+            changed.or(expiry).await;
         }
     }
 }
--- a/components/standin/src/worker/mod.rs
+++ b/components/standin/src/worker/mod.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a worker: runs tasks under leases, in what it has of cores, memory and
-//! accelerators. `docs/WORKERS.md` describes the interface; the body of a task is that of the
-//! [executor](crate::executor)'s.
+//! A stand-in for a worker: runs tasks under leases within its cores, memory and accelerators.
+//! `docs/WORKERS.md` describes the API; the body of a task is that of the
+//! [executor](crate::executor).
 
 mod lease;
 mod serve;
@@ -9,29 +9,29 @@
 
 use crate::{
     Ledger,
-    serve::{Control, Host, Node},
+    serve::{Control, EndpointState, Host},
 };
 use parking_lot::Mutex;
 use site::unit::{Accelerators, Cores, Memory, Resources};
 use std::{io, net::SocketAddr, ops::Deref, sync::Arc, time::Duration};
 use trillium::Conn;
 
-/// What a worker offers.
+/// Name, capacity and limits of a worker.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name in the ledger.
+    /// Name of the worker in the ledger.
     pub name: String,
-    /// Processor capacity.
+    /// Processor cores for tasks.
     pub cores: Cores,
-    /// Main memory.
+    /// Memory for tasks.
     pub memory: Memory,
-    /// Accelerators.
+    /// Accelerators for tasks.
     pub accelerators: Accelerators,
-    /// Connections that it accepts at one time.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Run time of a task whose body gives none.
+    /// Run time of a task whose body doesn't set one.
     pub run_time: Duration,
-    /// Time between measurements of usage.
+    /// Interval between measurements of usage.
     pub usage_interval: Duration,
 }
 
@@ -67,7 +67,7 @@
 }
 
 struct State {
-    node: Arc<Node>,
+    endpoint: Arc<EndpointState>,
     control: Control,
     options: Options,
     tasks: Mutex<task::Tasks>,
@@ -75,17 +75,17 @@
 }
 
 impl Worker {
-    /// Starts to serve on `address`; the system chooses a port if it gives none.
+    /// Starts to serve on `address`; the operating system chooses the port if it is 0.
     ///
     /// # Errors
     ///
     /// When the address can't be bound.
     pub fn spawn(address: SocketAddr, options: Options, ledger: Ledger) -> io::Result<Worker> {
-        let node = Arc::new(Node::new(&options.name, ledger));
-        let control = Control::new(Arc::clone(&node));
+        let endpoint = Arc::new(EndpointState::new(&options.name, ledger));
+        let control = Control::new(Arc::clone(&endpoint));
         let connections = options.connections;
         let state = Arc::new(State {
-            node: Arc::clone(&node),
+            endpoint: Arc::clone(&endpoint),
             control: control.clone(),
             options,
             tasks: Mutex::default(),
@@ -93,7 +93,7 @@
         });
         let _sampler = smol::spawn(usage::sample(Arc::downgrade(&state)));
         let handler = move |conn: Conn| serve::handle(Arc::clone(&state), conn);
-        let host = Host::spawn(address, connections, node, control, handler)?;
+        let host = Host::spawn(address, connections, endpoint, control, handler)?;
         Ok(Worker { host, _sampler })
     }
 }
--- a/components/standin/src/worker/serve.rs
+++ b/components/standin/src/worker/serve.rs
@@ -1,14 +1,14 @@
-//! The worker's interface.
+//! The worker's HTTP API.
 
 use crate::{
     ledger::Step,
     protocol,
     request::Request,
-    serve::{Answer, Attempt, Control, serve},
+    serve::{Attempt, Control, Response, serve},
     worker::{
         State,
-        lease::{End, Lease},
-        task::{Running, Task},
+        lease::{Lease, LeaseEnd},
+        task::{Running, TaskState},
     },
 };
 use serde_json::{Value, json};
@@ -17,19 +17,19 @@
 use std::{str::FromStr, sync::Arc, time::Duration};
 use trillium::{Conn, Method};
 
-/// Lease of a task whose request gives none.
+/// Lease of a task whose request has no lease header.
 const DEFAULT_LEASE: Span = Span::from_secs(10);
 
-/// What the headers of a request declare.
-struct Declared {
+/// The resources and the lease that the headers of a request declare.
+struct DeclaredLimits {
     needs: Resources,
     lease: Duration,
 }
 
-impl Declared {
-    fn of(conn: &Conn) -> Declared {
+impl DeclaredLimits {
+    fn of(conn: &Conn) -> DeclaredLimits {
         let lease = header(conn, protocol::LEASE).unwrap_or(DEFAULT_LEASE);
-        Declared {
+        DeclaredLimits {
             needs: Resources {
                 cores: header(conn, protocol::CORES).unwrap_or_default(),
                 memory: header(conn, protocol::MEMORY).unwrap_or_default(),
@@ -46,49 +46,49 @@
 }
 
 pub(super) async fn handle(state: Arc<State>, conn: Conn) -> Conn {
-    if Control::takes(&conn) {
+    if Control::is_control_request(&conn) {
         return state.control.serve(conn).await;
     }
-    let declared = Declared::of(&conn);
+    let declared = DeclaredLimits::of(&conn);
     let path: Vec<_> = conn.path().split('/').skip(1).map(str::to_owned).collect();
     let path: Vec<_> = path.iter().map(String::as_str).collect();
     let state = &*state;
     match (conn.method(), path.as_slice()) {
         (Method::Get, ["healthz"]) => {
-            serve(&state.node, conn, |_, _| async { Answer::new(200, Value::Null) }).await
+            serve(&state.endpoint, conn, |_, _| async { Response::new(200, Value::Null) }).await
         }
         (Method::Get, ["v1", "usage"]) => {
-            let usage = |_, _| async { Answer::new(200, state.sample.lock().to_json()) };
-            serve(&state.node, conn, usage).await
+            let usage = |_, _| async { Response::new(200, state.sample.lock().to_json()) };
+            serve(&state.endpoint, conn, usage).await
         }
         (Method::Put, ["v1", "tasks", id]) => {
             let put = |attempt, body: String| async move {
-                state.put(named(attempt, id), &declared, &body).await
+                state.put(with_id(attempt, id), &declared, &body).await
             };
-            serve(&state.node, conn, put).await
+            serve(&state.endpoint, conn, put).await
         }
         (Method::Post, ["v1", "tasks", id, "renew"]) => {
-            serve(&state.node, conn, |_, _| async { state.renew(id, declared.lease) }).await
+            serve(&state.endpoint, conn, |_, _| async { state.renew(id, declared.lease) }).await
         }
         (Method::Delete, ["v1", "tasks", id]) => {
-            serve(&state.node, conn, |_, _| async { state.delete(id) }).await
+            serve(&state.endpoint, conn, |_, _| async { state.delete(id) }).await
         }
         _ => conn,
     }
 }
 
-fn named(attempt: Attempt, id: &str) -> Attempt {
+fn with_id(attempt: Attempt, id: &str) -> Attempt {
     Attempt { id: id.to_owned(), ..attempt }
 }
 
-fn answer(state: &str) -> Answer {
-    Answer::new(200, json!({"state": state}))
+fn state_response(state: &str) -> Response {
+    Response::new(200, json!({"state": state}))
 }
 
 impl State {
-    async fn put(&self, attempt: Attempt, declared: &Declared, body: &str) -> Answer {
+    async fn put(&self, attempt: Attempt, declared: &DeclaredLimits, body: &str) -> Response {
         let Ok(request) = Request::parse(body) else {
-            return Answer::new(400, json!("the body is not a task"));
+            return Response::new(400, json!("the body is not a task"));
         };
         let running = Running {
             needs: declared.needs,
@@ -96,16 +96,16 @@
             lease: Arc::new(Lease::new(declared.lease)),
         };
         let lease = Arc::clone(&running.lease);
-        if let Err(answer) = self.start(&attempt, running) {
-            return answer;
+        if let Err(response) = self.start(&attempt, running) {
+            return response;
         }
         let mut run = Run { state: self, attempt: &attempt, step: Step::Stop };
-        if self.node.takes_failure() {
+        if self.endpoint.consume_failure() {
             run.step = Step::End;
-            return Answer { ran: true, ..Answer::new(500, json!("failed")) };
+            return Response { has_run: true, ..Response::new(500, json!("failed")) };
         }
         let time = request.run_time().unwrap_or(self.options.run_time);
-        let time = time.mul_f64(self.node.faults().slow);
+        let time = time.mul_f64(self.endpoint.faults().slow);
         let work = async {
             Timer::after(time).await;
             None
@@ -118,35 +118,35 @@
                     "echo": request.echo,
                     "task": attempt.task,
                     "attempt": attempt.id,
-                    "endpoint": self.node.name,
+                    "endpoint": self.endpoint.name,
                 });
-                let answer = Answer::new(request.status.unwrap_or(200), body);
-                Answer { ran: true, ..answer }.with(protocol::ATTEMPT, &attempt.id)
+                let response = Response::new(request.status.unwrap_or(200), body);
+                Response { has_run: true, ..response }.with(protocol::ATTEMPT, &attempt.id)
             }
             Some(end) => {
-                if end == End::Lapsed {
+                if end == LeaseEnd::Expired {
                     run.step = Step::Lapse;
                 }
-                Answer::new(410, Value::Null).with(protocol::OUTCOME, "stopped")
+                Response::new(410, Value::Null).with(protocol::OUTCOME, "stopped")
             }
         }
     }
 
-    /// Takes the resources, or says why not.
-    fn start(&self, attempt: &Attempt, running: Running) -> Result<(), Answer> {
+    /// Occupies the resources, or returns the response that refuses the task.
+    fn start(&self, attempt: &Attempt, running: Running) -> Result<(), Response> {
         let mut tasks = self.tasks.lock();
         match tasks.attempts.get(&attempt.id) {
-            Some(Task::Running(_) | Task::Ended) => {
-                self.node.record(attempt, Step::Repeat);
-                return Err(Answer::repeated());
+            Some(TaskState::Running(_) | TaskState::Ended) => {
+                self.endpoint.record(attempt, Step::Repeat);
+                return Err(Response::repeated());
             }
-            Some(Task::Never) => {
-                self.node.record(attempt, Step::Refusal);
-                return Err(Answer::refusal("stopped"));
+            Some(TaskState::Cancelled) => {
+                self.endpoint.record(attempt, Step::Refusal);
+                return Err(Response::refusal("stopped"));
             }
             None => {}
         }
-        let faults = self.node.faults();
+        let faults = self.endpoint.faults();
         let free = self.options.capacity().minus(&tasks.used);
         let refusal = match () {
             () if faults.leaving => Some("leaving"),
@@ -154,47 +154,47 @@
             () => None,
         };
         if let Some(reason) = refusal {
-            self.node.record(attempt, Step::Refusal);
-            return Err(Answer::refusal(reason));
+            self.endpoint.record(attempt, Step::Refusal);
+            return Err(Response::refusal(reason));
         }
         tasks.start(&attempt.id, running);
-        self.node.record(attempt, Step::Start);
+        self.endpoint.record(attempt, Step::Start);
         Ok(())
     }
 
-    fn renew(&self, id: &str, length: Duration) -> Answer {
+    fn renew(&self, id: &str, length: Duration) -> Response {
         match self.tasks.lock().attempts.get(id) {
-            None => answer("unknown"),
-            Some(Task::Never) => answer("never"),
-            Some(Task::Ended) => answer("ended"),
-            Some(Task::Running(running)) => {
+            None => state_response("unknown"),
+            Some(TaskState::Cancelled) => state_response("never"),
+            Some(TaskState::Ended) => state_response("ended"),
+            Some(TaskState::Running(running)) => {
                 running.lease.renew(length);
-                answer("running")
+                state_response("running")
             }
         }
     }
 
-    fn delete(&self, id: &str) -> Answer {
+    fn delete(&self, id: &str) -> Response {
         let mut tasks = self.tasks.lock();
         match tasks.attempts.get(id) {
-            Some(Task::Ended) => answer("ended"),
-            Some(Task::Running(running)) => {
+            Some(TaskState::Ended) => state_response("ended"),
+            Some(TaskState::Running(running)) => {
                 running.lease.revoke();
-                answer("running")
+                state_response("running")
             }
-            Some(Task::Never) | None => {
-                tasks.attempts.insert(id.to_owned(), Task::Never);
-                answer("never")
+            Some(TaskState::Cancelled) | None => {
+                tasks.attempts.insert(id.to_owned(), TaskState::Cancelled);
+                state_response("never")
             }
         }
     }
 }
 
-/// A running task. Its resources are free once it is dropped.
+/// A running task. Its resources are released when it is dropped.
 struct Run<'a> {
     state: &'a State,
     attempt: &'a Attempt,
-    /// How it ends.
+    /// The step to record when it is dropped.
     step: Step,
 }
 
@@ -202,6 +202,6 @@
     fn drop(&mut self) {
         let mut tasks = self.state.tasks.lock();
         tasks.end(&self.attempt.id);
-        self.state.node.record(self.attempt, self.step);
+        self.state.endpoint.record(self.attempt, self.step);
     }
 }
--- a/components/standin/src/worker/task.rs
+++ b/components/standin/src/worker/task.rs
@@ -1,53 +1,54 @@
-//! The tasks of a worker.
+//! The attempts that a worker received, and the resources that they occupy.
 
 use crate::worker::lease::Lease;
 use site::unit::Resources;
 use std::{collections::HashMap, sync::Arc};
 
-/// What is known about an attempt that was named in a request.
+/// The state of an attempt that a request named.
 #[derive(Clone, Debug)]
-pub(super) enum Task {
-    /// It runs.
+pub(super) enum TaskState {
+    /// The task runs.
     Running(Running),
-    /// It has ended, by itself or not.
+    /// The task completed, failed or was stopped.
     Ended,
-    /// It was stopped before it arrived, and must not start.
-    Never,
+    /// The task was stopped before it was received, and must not start.
+    Cancelled,
 }
 
 /// A running task.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
-    /// What it occupies.
+    /// Resources that the task occupies.
     pub(super) needs: Resources,
-    /// What it really uses.
+    /// Resources that the task reports as used.
     pub(super) uses: Resources,
     pub(super) lease: Arc<Lease>,
 }
 
-/// All attempts ever named, by their text. None is forgotten, so that none starts twice.
+/// All attempts that requests named, by id. None is removed, so that none starts twice.
 #[derive(Debug, Default)]
 pub(super) struct Tasks {
-    pub(super) attempts: HashMap<String, Task>,
-    /// What the running tasks occupy together.
+    pub(super) attempts: HashMap<String, TaskState>,
+    /// Total resources that the running tasks occupy.
     pub(super) used: Resources,
 }
 
 impl Tasks {
     pub(super) fn running(&self) -> impl Iterator<Item = (&String, &Running)> {
         self.attempts.iter().filter_map(|(attempt, task)| match task {
-            Task::Running(running) => Some((attempt, running)),
-            Task::Ended | Task::Never => None,
+            TaskState::Running(running) => Some((attempt, running)),
+            TaskState::Ended | TaskState::Cancelled => None,
         })
     }
 
     pub(super) fn start(&mut self, attempt: &str, running: Running) {
         self.used = self.used.plus(&running.needs);
-        self.attempts.insert(attempt.to_owned(), Task::Running(running));
+        self.attempts.insert(attempt.to_owned(), TaskState::Running(running));
     }
 
     pub(super) fn end(&mut self, attempt: &str) {
-        if let Some(Task::Running(running)) = self.attempts.insert(attempt.to_owned(), Task::Ended)
+        if let Some(TaskState::Running(running)) =
+            self.attempts.insert(attempt.to_owned(), TaskState::Ended)
         {
             self.used = self.used.minus(&running.needs);
         }
--- a/components/standin/src/worker/usage.rs
+++ b/components/standin/src/worker/usage.rs
@@ -1,4 +1,4 @@
-//! What running tasks use, measured at intervals.
+//! Measures the resource usage of running tasks at intervals.
 
 use crate::worker::State;
 use serde_json::{Value, json};
@@ -6,11 +6,11 @@
 use smol::Timer;
 use std::{sync::Weak, time::Instant};
 
-/// A measurement.
+/// A measurement of all running tasks.
 #[derive(Debug)]
 pub(super) struct Sample {
     taken: Instant,
-    /// By attempt.
+    /// Resource usage by attempt id.
     tasks: Vec<(String, Resources)>,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Measures until the worker is gone.
+/// Measures at intervals until the worker is dropped.
 pub(super) async fn sample(worker: Weak<State>) {
     while let Some(state) = worker.upgrade() {
         let tasks = measure(&state);
--- a/components/standin/tests/executor.rs
+++ b/components/standin/tests/executor.rs
@@ -1,4 +1,5 @@
-//! The executor's stand-in keeps its slots and its ledger, and can be steered over HTTP.
+//! The executor's stand-in limits tasks to its slots, records each step in the ledger, and is
+//! controlled over HTTP.
 
 use serde_json::{Value, json};
 use smol::block_on;
@@ -11,7 +12,7 @@
 use trillium_client::{Client, Conn, KnownHeaderName, Status};
 use trillium_smol::ClientConfig;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn spawn(name: &str, slots: usize, ledger: &Ledger) -> Executor {
     let options = Options { name: name.to_owned(), slots, ..Options::default() };
@@ -22,7 +23,7 @@
     Client::new(ClientConfig::default())
 }
 
-/// Runs a task and returns the answer's head.
+/// Runs a task and returns the response with its body unread.
 async fn run(executor: &Executor, task: &str, body: Value) -> Conn {
     client()
         .post(format!("http://{}/check", executor.address()))
@@ -51,7 +52,7 @@
         let executor = spawn("one", 1, &ledger);
         let first = run(&executor, "1", json!({"ms": 300}));
         let second = async {
-            assert!(ledger.wait(Step::Start, 1, PATIENCE).await);
+            assert!(ledger.wait(Step::Start, 1, TIMEOUT).await);
             run(&executor, "2", json!({})).await
         };
         let (first, second) = smol::future::zip(first, second).await;
@@ -89,13 +90,13 @@
 }
 
 #[test]
-fn stand_ins_share_a_ledger_and_repeated_tasks_show() {
+fn a_shared_ledger_shows_repeated_tasks() {
     block_on(async {
         let ledger = Ledger::default();
         let (first, second) = (spawn("first", 1, &ledger), spawn("second", 1, &ledger));
         for (executor, task) in [(&first, "7"), (&second, "7"), (&second, "8")] {
-            let answer = run(executor, task, json!({"ms": 0})).await;
-            assert_eq!(answer.status(), Some(Status::Ok));
+            let response = run(executor, task, json!({"ms": 0})).await;
+            assert_eq!(response.status(), Some(Status::Ok));
         }
         assert_eq!(ledger.repeated(), ["7"]);
         assert_eq!(ledger.starts()["8"], 1);
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn faults_and_ledger_are_reached_over_http() {
+fn faults_and_ledger_are_accessible_over_http() {
     block_on(async {
         let executor = spawn("far", 1, &Ledger::default());
         let faults = format!("http://{}/faults", executor.address());
@@ -133,19 +134,19 @@
 }
 
 #[test]
-fn a_dead_executor_listens_again_after_its_time() {
+fn a_killed_executor_listens_again_after_dead_for() {
     block_on(async {
         let ledger = Ledger::default();
         let executor = spawn("ill", 1, &ledger);
         let health = format!("http://{}/healthz", executor.address());
         let mut task = client().post(health.clone()).with_body(r#"{"ms": 60000}"#);
-        let death = async {
-            assert!(ledger.wait(Step::Start, 1, PATIENCE).await);
+        let kill = async {
+            assert!(ledger.wait(Step::Start, 1, TIMEOUT).await);
             executor.set_faults(Faults { dead_for: Some(20), ..Faults::default() });
-            assert!(ledger.wait(Step::Stop, 1, PATIENCE).await);
+            assert!(ledger.wait(Step::Stop, 1, TIMEOUT).await);
         };
-        let (answer, ()) = smol::future::zip(async { (&mut task).await }, death).await;
-        assert!(answer.is_err());
+        let (response, ()) = smol::future::zip(async { (&mut task).await }, kill).await;
+        assert!(response.is_err());
         while client().get(health.clone()).await.is_err() {}
         assert_eq!(run(&executor, "1", json!({})).await.status(), Some(Status::Ok));
     });
--- a/components/standin/tests/ports.rs
+++ b/components/standin/tests/ports.rs
@@ -1,4 +1,5 @@
-//! Ports that are handed out can be listened at, whatever processes start meanwhile.
+//! Reserved ports can be bound while other threads spawn processes. A child holds copies of open
+//! sockets until it executes its program, which would keep a port in use.
 
 use standin::ports;
 use std::{
@@ -8,13 +9,13 @@
     thread,
 };
 
-/// Threads that start processes.
-const STARTERS: usize = 4;
+/// Number of threads that spawn processes.
+const SPAWNING_THREADS: usize = 4;
 
-/// Ports that are asked for.
-const PORTS: usize = 5_000;
+/// Number of ports that are reserved.
+const PORT_COUNT: usize = 5_000;
 
-/// Starts processes until it is told to stop.
+/// Spawns processes until `stop` is set.
 fn start_processes(stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         let child = ports::spawn(Command::new("true").stdout(Stdio::null()));
@@ -23,17 +24,17 @@
 }
 
 #[test]
-fn a_port_is_free_although_processes_start_while_it_is_chosen() {
+fn a_reserved_port_is_free_while_processes_start() {
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        for _ in 0..STARTERS {
+        for _ in 0..SPAWNING_THREADS {
             scope.spawn(|| start_processes(&stop));
         }
         let taken = |_: &usize| {
             let address = ports::reserve().expect("a port");
             TcpListener::bind(address).is_err()
         };
-        let taken = (0..PORTS).filter(taken).count();
+        let taken = (0..PORT_COUNT).filter(taken).count();
         stop.store(true, Ordering::Relaxed);
         assert_eq!(taken, 0, "ports in use");
     });
--- a/lab/src/world/callers.rs
+++ b/lab/src/world/callers.rs
@@ -177,10 +177,11 @@
     /// How many such tasks the executors could start now.
     fn room(&mut self, needs: &Resources) -> u32 {
         let now = self.now;
-        let sound = self.slots.iter_mut().filter(|slot| slot.fake.up && slot.fake.dark_until < now);
+        let sound =
+            self.slots.iter_mut().filter(|slot| slot.fake.up && slot.fake.unresponsive_until < now);
         sound
             .map(|slot| {
-                slot.fake.settle(now);
+                slot.fake.end_due_runs(now);
                 slot.fake.free().max_tasks(needs)
             })
             .sum()
--- a/lab/src/world/faults.rs
+++ b/lab/src/world/faults.rs
@@ -46,7 +46,7 @@
                 }
             }
             Fault::Dark { executor, ms } => {
-                self.slots[executor].fake.dark_until = Time(self.now.0 + ms * 1_000);
+                self.slots[executor].fake.unresponsive_until = Time(self.now.0 + ms * 1_000);
             }
             Fault::Crash { executor } => {
                 let fake = &mut self.slots[executor].fake;
@@ -59,7 +59,7 @@
                 self.after(ms * 1_000, Step::Unfault(fault));
             }
             Fault::Slow { executor, ms, factor } => {
-                self.slots[executor].fake.factor = factor;
+                self.slots[executor].fake.duration_factor = factor;
                 self.after(ms * 1_000, Step::Unfault(fault));
             }
             Fault::Leave { executor } => {
@@ -97,7 +97,7 @@
     pub(super) fn unfault(&mut self, fault: Fault) {
         match fault {
             Fault::Fails { executor, .. } => self.slots[executor].fake.fails = false,
-            Fault::Slow { executor, .. } => self.slots[executor].fake.factor = 1,
+            Fault::Slow { executor, .. } => self.slots[executor].fake.duration_factor = 1,
             Fault::Cordon { data_centre, .. } => self.set_cordon(data_centre, false),
             Fault::Blind { .. } => self.tell_cordons(),
             _ => {}
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -30,7 +30,7 @@
     id::{EndpointId, Home, Incarnation},
     unit::{Resources, Span, Time},
 };
-use standin::leased::Life;
+use standin::leased::ExecutorState;
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BTreeSet, BinaryHeap},
@@ -65,7 +65,7 @@
 
 struct Slot {
     executor: Executor,
-    fake: Life,
+    fake: ExecutorState,
     life: u32,
 }
 
@@ -173,7 +173,7 @@
         let nodes = nodes.collect();
         let slots = (0..plan.executor_count()).map(|index| Slot {
             executor: executor(&plan, index, 0),
-            fake: Life::new(
+            fake: ExecutorState::new(
                 capacity(&plan, index),
                 [0, 10, 20][index % 3],
                 random.random_range(0..1_000_000),
@@ -239,7 +239,7 @@
             .slots
             .iter_mut()
             .map(|slot| {
-                slot.fake.settle(end);
+                slot.fake.end_due_runs(end);
                 slot.fake.running.len()
             })
             .sum();
@@ -299,7 +299,7 @@
                 let offset = self.random.random_range(0..1_000_000);
                 self.slots[slot] = Slot {
                     executor: executor(&self.plan, slot, life),
-                    fake: Life::new(capacity(&self.plan, slot), 10, offset),
+                    fake: ExecutorState::new(capacity(&self.plan, slot), 10, offset),
                     life,
                 };
                 self.tell_executors();
--- a/lab/src/world/orders.rs
+++ b/lab/src/world/orders.rs
@@ -24,7 +24,7 @@
         let Some(slot) = slot.filter(|slot| self.slots[*slot].fake.up) else {
             return self.reply(node, incarnation, gone(&order), WAY_US);
         };
-        if self.slots[slot].fake.dark_until > now {
+        if self.slots[slot].fake.unresponsive_until > now {
             return self.reply(node, incarnation, silent(&order), ORDER_US);
         }
         let is_there = matches!(&order, Order::Look(.., Progress::There));
@@ -44,10 +44,10 @@
         }
         if let Order::Look(look, until, _) = &order
             && *until > now
-            && !self.slots[slot].fake.has_news(look.acknowledged)
+            && !self.slots[slot].fake.has_unacknowledged(look.acknowledged)
         {
-            self.slots[slot].fake.settle(now);
-            if !self.slots[slot].fake.has_news(look.acknowledged) {
+            self.slots[slot].fake.end_due_runs(now);
+            if !self.slots[slot].fake.has_unacknowledged(look.acknowledged) {
                 let order = Order::Look(*look, *until, Progress::There);
                 return self.after(2_000, Step::Order(node, incarnation, order));
             }
@@ -78,7 +78,7 @@
                 Event::Stopped { executor: *executor, run: run.clone(), reply }
             }
             Order::Look(look, ..) => {
-                let reply = self.slots[slot].fake.look(now, look);
+                let reply = self.slots[slot].fake.poll(now, look);
                 if let Response::Done(lists) = &reply {
                     for ended in &lists.ended {
                         if let Some(run) = &ended.run
@@ -108,7 +108,7 @@
         self.starts += 1;
         let now = self.now;
         for other in 0..self.slots.len() {
-            self.slots[other].fake.settle(now);
+            self.slots[other].fake.end_due_runs(now);
             let fake = &self.slots[other].fake;
             let twin = fake.running.keys().find(|there| {
                 there.job == run.job && there.index == run.index && (other != slot || *there != run)
--- a/soak/src/check/jobs.rs
+++ b/soak/src/check/jobs.rs
@@ -36,7 +36,7 @@
     let ends = || job.attempts.iter().filter_map(|attempt| attempt.end.map(|(_, how)| how));
     let refused = ends().any(|how| how == Outcome::Refused)
         && ends().all(|how| matches!(how, Outcome::Refused | Outcome::Unsent));
-    let starts = evidence.twice.starts(name);
+    let starts = evidence.monitor.starts(name);
     (refused && starts > 0).then(|| Violation::UntrueRefusal { job: name.to_owned(), starts })
 }
 
@@ -46,7 +46,7 @@
     if !job.attempts.iter().any(completed) {
         return None;
     }
-    let task = (0..job.tasks).find(|index| !evidence.twice.is_done(name, *index))?;
+    let task = (0..job.tasks).find(|index| !evidence.monitor.is_done(name, *index))?;
     Some(Violation::Partial { job: name.to_owned(), task })
 }
 
--- a/soak/src/check/leaving.rs
+++ b/soak/src/check/leaving.rs
@@ -7,7 +7,7 @@
 const EMPTY: Duration = Duration::from_secs(2);
 
 pub(super) fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
-    let starts = evidence.twice.begun();
+    let starts = evidence.monitor.started_runs();
     let mut violations = Vec::new();
     for leaving in &evidence.record.leaving {
         let executor = &evidence.executors[leaving.executor];
--- a/soak/src/check/mod.rs
+++ b/soak/src/check/mod.rs
@@ -8,7 +8,7 @@
 pub use violation::Violation;
 
 use crate::history::Record;
-use standin::leased::Twice;
+use standin::leased::RunMonitor;
 use std::{
     collections::HashSet,
     time::{Duration, Instant},
@@ -24,7 +24,7 @@
     /// What callers and operators saw.
     pub record: &'a Record,
     /// What executors saw.
-    pub twice: &'a Twice,
+    pub monitor: &'a RunMonitor,
     /// The time from which executors count.
     pub begun: Instant,
     /// When the faults were over and had time to heal.
@@ -39,8 +39,12 @@
 
 /// Promises that were not kept.
 pub fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
-    let mut violations: Vec<Violation> =
-        evidence.twice.broken().into_iter().map(|runs| Violation::Twice { runs }).collect();
+    let mut violations: Vec<Violation> = evidence
+        .monitor
+        .concurrent_runs()
+        .into_iter()
+        .map(|runs| Violation::Twice { runs })
+        .collect();
     violations.extend(jobs::check(evidence));
     violations.extend(configuration::check(evidence));
     violations.extend(leaving::check(evidence));
--- a/soak/src/inject.rs
+++ b/soak/src/inject.rs
@@ -9,7 +9,7 @@
 };
 use ::site::unit::Span;
 use smol::{Timer, lock::MutexGuard};
-use standin::{kv::Mode, leased::Life};
+use standin::{kv::Mode, leased::ExecutorState};
 use std::{
     sync::{
         Arc,
@@ -107,14 +107,16 @@
             ExecutorFault::HoldOrders => self.orders(index, HELD, lasts).await,
             ExecutorFault::HoldAnswers => self.orders(index, ANSWERS_HELD, lasts).await,
             ExecutorFault::ResetOrders => worker.orders.reset(),
-            ExecutorFault::Dark => worker.executor.change(|life, now| {
-                life.dark_until = now + Span(lasts.as_micros() as u64);
+            ExecutorFault::Dark => worker.executor.change(|state, now| {
+                state.unresponsive_until = now + Span(lasts.as_micros() as u64);
             }),
             ExecutorFault::Fail => {
-                self.misbehave(index, lasts, |life, fails| life.fails = fails).await;
+                self.misbehave(index, lasts, |state, fails| state.fails = fails).await;
             }
             ExecutorFault::Drag => {
-                let drag = |life: &mut Life, drags| life.factor = if drags { DRAG } else { 1 };
+                let drag = |state: &mut ExecutorState, drags| {
+                    state.duration_factor = if drags { DRAG } else { 1 }
+                };
                 self.misbehave(index, lasts, drag).await;
             }
             ExecutorFault::Leave => self.leave(index),
@@ -195,18 +197,23 @@
         let store = &self.site.store;
         let mode = match what {
             StoreFault::Busy => Mode::Busy,
-            StoreFault::Silent => Mode::Silent,
-            StoreFault::Forget => return store.forget(),
+            StoreFault::Silent => Mode::Unresponsive,
+            StoreFault::Forget => return store.compact(),
         };
         store.set_mode(mode);
         Timer::after(lasts).await;
         store.set_mode(Mode::Up);
     }
 
-    async fn misbehave(&self, index: usize, lasts: Duration, change: impl Fn(&mut Life, bool)) {
+    async fn misbehave(
+        &self,
+        index: usize,
+        lasts: Duration,
+        change: impl Fn(&mut ExecutorState, bool),
+    ) {
         let executor = &self.site.workers[index].executor;
-        executor.change(|life, _| change(life, true));
+        executor.change(|state, _| change(state, true));
         Timer::after(lasts).await;
-        executor.change(|life, _| change(life, false));
+        executor.change(|state, _| change(state, false));
     }
 }
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -175,7 +175,7 @@
         workers.flat_map(|worker| worker.executor.running()).map(|run| run.to_string()).collect();
     check::check(&Evidence {
         record,
-        twice: &site.twice,
+        monitor: &site.monitor,
         begun: site.begun,
         healed,
         executors: &executors,
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -13,7 +13,7 @@
 use smol::{Timer, lock::Mutex};
 use standin::{
     kv::Store,
-    leased::{Executor, Twice},
+    leased::{Executor, RunMonitor},
 };
 use std::{
     collections::HashSet,
@@ -77,7 +77,7 @@
     /// The entries.
     pub nodes: Vec<Node>,
     /// What the executors have begun.
-    pub twice: Arc<Twice>,
+    pub monitor: Arc<RunMonitor>,
     /// The time from which executors count.
     pub begun: Instant,
     folder: PathBuf,
@@ -95,16 +95,16 @@
         let folder = std::env::temp_dir().join(format!("soak-{}-{number}", std::process::id()));
         fs::create_dir_all(&folder)?;
         let store = Store::start()?;
-        let twice = Arc::new(Twice::default());
+        let monitor = Arc::new(RunMonitor::default());
         let mut workers = Vec::new();
         for index in 0..size.executors {
-            workers.push(Worker::start(index, begun, &twice).await?);
+            workers.push(Worker::start(index, begun, &monitor).await?);
         }
         let mut nodes = Vec::new();
         for index in 0..size.entries {
             nodes.push(Node::start(program, &folder, index, store.address).await?);
         }
-        let site = Site { store, workers, nodes, twice, begun, folder };
+        let site = Site { store, workers, nodes, monitor, begun, folder };
         (0..size.executors).for_each(|index| site.register(index, false));
         site.store.put("op/config", &document::config(1, document::PATIENCE_MS));
         site.wait_ready().await?;
@@ -115,7 +115,7 @@
     pub fn register(&self, index: usize, leaves: bool) {
         let Worker { executor, orders } = &self.workers[index];
         let data_centre = data_centre(index);
-        let entry = executor.entry_at(orders.address, SERVICE, data_centre, leaves, 1);
+        let entry = executor.registration_at(orders.address, SERVICE, data_centre, leaves, 1);
         self.store.put(&format!("servers/{}", executor.name), &entry);
     }
 
@@ -175,8 +175,12 @@
 }
 
 impl Worker {
-    async fn start(index: usize, begun: Instant, twice: &Arc<Twice>) -> Result<Worker, Error> {
-        let executor = Executor::start(&format!("i-{index}"), begun, twice)?;
+    async fn start(
+        index: usize,
+        begun: Instant,
+        monitor: &Arc<RunMonitor>,
+    ) -> Result<Worker, Error> {
+        let executor = Executor::start(&format!("i-{index}"), begun, monitor)?;
         let orders = Proxy::start(executor.address).await?;
         Ok(Worker { executor, orders })
     }
