--- a/fuzz/src/bytes.rs
+++ b/fuzz/src/bytes.rs
@@ -1,9 +1,9 @@
-//! Changes to strings of bytes.
+//! Random changes to byte strings.
 
 use crate::Random;
 use rand::{Rng, seq::IndexedRandom};
 
-/// Pieces that readers of text trip over.
+/// Byte sequences that parsers of text often mishandle.
 const PIECES: [&[u8]; 32] = [
     b"\r\n",
     b"\r\n\r\n",
@@ -39,8 +39,8 @@
     b" ",
 ];
 
-/// Depth of a deep nesting.
-const DEPTH: usize = 3_000;
+/// Levels of nested JSON arrays or objects that [`nest`] inserts.
+const NESTING_DEPTH: usize = 3_000;
 
 /// Changes `bytes` in one to four places.
 pub fn mutate(bytes: &mut Vec<u8>, rng: &mut Random) {
@@ -69,22 +69,24 @@
     }
 }
 
-/// Rarely, as it is long: most of these end a reader in the same way.
+/// Inserts deeply nested JSON in one of 20 calls: the text is long, and most such texts make a
+/// parser stop in the same way.
 fn nest(bytes: &mut Vec<u8>, at: usize, rng: &mut Random) {
     if !rng.random_ratio(1, 20) {
         return;
     }
     let open: &[u8] = if rng.random() { b"[" } else { b"{\"a\":" };
-    drop(bytes.splice(at..at, open.repeat(DEPTH)));
+    drop(bytes.splice(at..at, open.repeat(NESTING_DEPTH)));
 }
 
-/// Up to `most` arbitrary bytes.
-pub fn arbitrary(rng: &mut Random, most: usize) -> Vec<u8> {
-    let length = rng.random_range(0..=most);
+/// Returns up to `max_len` random bytes.
+pub fn arbitrary(rng: &mut Random, max_len: usize) -> Vec<u8> {
+    let length = rng.random_range(0..=max_len);
     (0..length).map(|_| rng.random()).collect()
 }
 
-/// A number of any size, often one at the edge of a type.
+/// Returns a number of any size, often the smallest or largest value of an integer type or one next
+/// to it.
 pub fn number(rng: &mut Random) -> u64 {
     const EDGES: [u64; 10] = [
         0,
--- a/fuzz/src/cases.rs
+++ b/fuzz/src/cases.rs
@@ -1,4 +1,4 @@
-//! Cases that failed once, kept in files.
+//! Stores cases that failed once in files, so that the tests run them again.
 
 use sha2::{Digest, Sha256};
 use std::{
@@ -6,33 +6,33 @@
     path::{Path, PathBuf},
 };
 
-/// Characters of a digest in a file's name.
-const DIGEST: usize = 12;
+/// Hexadecimal digits of a case's SHA-256 digest in its file name.
+const DIGEST_DIGITS: usize = 12;
 
-/// The folder of a target's cases.
+/// Returns the directory of a target's stored cases.
 pub fn folder(target: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("cases").join(target)
 }
 
-/// Writes a case. Its name tells what it found.
+/// Writes a case to a file that is named by its finding and its digest, and returns the path.
 ///
 /// # Errors
 ///
 /// When the file can't be written.
-pub fn keep(target: &str, found: &str, case: &[u8]) -> io::Result<PathBuf> {
+pub fn save(target: &str, finding: &str, case: &[u8]) -> io::Result<PathBuf> {
     let folder = folder(target);
     fs::create_dir_all(&folder)?;
     let digest: String = Sha256::digest(case).iter().map(|byte| format!("{byte:02x}")).collect();
-    let path = folder.join(format!("{found}-{}", &digest[..DIGEST]));
+    let path = folder.join(format!("{finding}-{}", &digest[..DIGEST_DIGITS]));
     fs::write(&path, case)?;
     Ok(path)
 }
 
-/// The kept cases of a target by name.
+/// Returns the stored cases of a target with their file names, sorted by path.
 ///
 /// # Errors
 ///
-/// When a file can't be read. A target without a folder has no cases.
+/// When a file can't be read. A target without a directory has no cases.
 pub fn load(target: &str) -> io::Result<Vec<(String, Vec<u8>)>> {
     let entries = match fs::read_dir(folder(target)) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
--- a/fuzz/src/finding.rs
+++ b/fuzz/src/finding.rs
@@ -1,58 +1,58 @@
-//! What is wrong with a case's run.
+//! Properties that a case violates.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 
-/// What became of a case, in a word or two, or what is wrong.
+/// The result of a case: a short name by which results are counted, or the finding.
 pub type Outcome = Result<CompactString, Finding>;
 
-/// A property that a case broke.
+/// A property that a case violates.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum Finding {
-    /// Something panicked.
+    /// A thread of the process panicked.
     #[display("panic: {text}")]
     Panic {
-        /// Message and place of each panic.
+        /// Message and source location of each panic.
         text: String,
     },
     /// The heap grew too much while the case ran.
     #[display("the heap grew by {bytes} bytes, over the bound of {bound}")]
     Memory {
-        /// Most growth at one time.
+        /// Largest growth at one time during the case, in bytes.
         bytes: usize,
-        /// What the target allows.
+        /// Largest growth that the target allows, in bytes.
         bound: usize,
     },
     /// The heap stayed larger after the case.
     #[display("{bytes} bytes stay on the heap after {what}, over the bound of {bound}")]
     Kept {
-        /// What happened.
+        /// Kind of the messages that the entry received repeatedly.
         what: String,
-        /// Growth that stayed.
+        /// Growth that is still allocated, in bytes.
         bytes: usize,
-        /// What the target allows.
+        /// Largest remaining growth that the target allows, in bytes.
         bound: usize,
     },
     /// The case took too many steps.
     #[display("{what}: over the bound of {bound} steps")]
     Steps {
-        /// What went on.
+        /// The loop or list that exceeded the bound.
         what: &'static str,
-        /// What the target allows.
+        /// Largest number of steps that the target allows.
         bound: usize,
     },
     /// A property of the target does not hold.
     #[display("{property}: {detail}")]
     Broken {
-        /// What should hold.
+        /// The property that should hold.
         property: &'static str,
-        /// What holds instead.
+        /// The observed state that violates it.
         detail: String,
     },
 }
 
 impl Finding {
-    /// A short name, for files and counts.
+    /// Returns a short name, for file names and counts.
     pub fn name(&self) -> &'static str {
         match self {
             Finding::Panic { .. } => "panic",
--- a/fuzz/src/heap.rs
+++ b/fuzz/src/heap.rs
@@ -1,17 +1,17 @@
-//! Counts the heap of this process.
+//! Measures the heap usage of this process.
 
 use peak_alloc::PeakAlloc;
 
 #[global_allocator]
 static ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// Bytes on the heap.
+/// Returns the bytes currently allocated on the heap.
 pub fn used() -> usize {
     ALLOCATOR.current_usage()
 }
 
-/// Runs `f`; returns its result and by how many bytes the heap grew at most meanwhile. What other
-/// threads allocate counts.
+/// Runs `f`. Returns its result and the peak growth of the heap meanwhile, in bytes. Allocations of
+/// other threads count too.
 pub fn peak<T>(f: impl FnOnce() -> T) -> (T, usize) {
     let before = used();
     ALLOCATOR.reset_peak_usage();
--- a/fuzz/src/http.rs
+++ b/fuzz/src/http.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 messages with flaws.
+//! Writes HTTP/1.1 messages, some of them malformed, and parses responses.
 
 use crate::{Random, bytes};
 use rand::{Rng, seq::IndexedRandom};
 
-/// Header values that readers trip over.
-const VALUES: [&str; 16] = [
+/// Header values that HTTP parsers often mishandle.
+const HEADER_VALUES: [&str; 16] = [
     "",
     " ",
     "close",
@@ -23,31 +23,31 @@
     "\u{1f600}",
 ];
 
-/// Bytes of the headers that make a head too long.
-const LONG: usize = 64 << 10;
+/// Approximate total size of the filler headers that make a message head too long, in bytes.
+const OVERSIZED_HEADERS_BYTES: usize = 64 << 10;
 
-/// How the end of a body is told.
+/// How a message marks the end of its body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// By nothing.
+    /// The message does not mark the end.
     None,
-    /// By its length.
+    /// `Content-Length` with the right length.
     Length,
-    /// By a length that is not its own.
-    Wrong,
-    /// In chunks.
+    /// `Content-Length` with an arbitrary number.
+    WrongLength,
+    /// Chunked transfer encoding.
     Chunks,
-    /// In chunks, one of which has no right size.
-    Broken,
-    /// By a length and in chunks.
+    /// Chunked transfer encoding; each chunk has an arbitrary size line with probability 1/2.
+    InvalidChunkSize,
+    /// `Content-Length` and chunked transfer encoding at once.
     Both,
 }
 
 impl Framing {
-    /// A framing; most are right.
-    pub fn any(rng: &mut Random) -> Framing {
+    /// Returns a random framing, valid in most cases.
+    pub fn random(rng: &mut Random) -> Framing {
         const FLAWED: [Framing; 4] =
-            [Framing::None, Framing::Wrong, Framing::Broken, Framing::Both];
+            [Framing::None, Framing::WrongLength, Framing::InvalidChunkSize, Framing::Both];
         match rng.random_range(0..10) {
             0..=5 => Framing::Length,
             6 | 7 => Framing::Chunks,
@@ -56,32 +56,32 @@
     }
 }
 
-/// A message before it is written.
+/// A request or response before it is written as bytes.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// The first line.
+    /// The request line or status line, without line break.
     pub start: String,
-    /// Names and values.
+    /// Names and values of the headers, except those of the framing.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// How its end is told.
+    /// How the end of the body is marked.
     pub framing: Framing,
 }
 
 impl Message {
-    /// Flaws in up to two headers.
-    pub fn spoil(&mut self, rng: &mut Random) {
+    /// Corrupts up to two headers.
+    pub fn corrupt(&mut self, rng: &mut Random) {
         for _ in 0..rng.random_range(0..4_u32).saturating_sub(1) {
-            self.spoil_header(rng);
+            self.corrupt_header(rng);
         }
     }
 
-    fn spoil_header(&mut self, rng: &mut Random) {
-        let odd = VALUES.choose(rng).copied().unwrap_or_default().to_owned();
+    fn corrupt_header(&mut self, rng: &mut Random) {
+        let invalid = HEADER_VALUES.choose(rng).copied().unwrap_or_default().to_owned();
         if self.headers.is_empty() || rng.random_ratio(1, 60) {
             let count = rng.random_range(1..300);
-            let filler = "x".repeat(LONG / 300);
+            let filler = "x".repeat(OVERSIZED_HEADERS_BYTES / 300);
             self.headers.extend((0..count).map(|n| (format!("X-{n}"), filler.clone())));
             return;
         }
@@ -89,14 +89,14 @@
         match rng.random_range(0..6) {
             0 => drop(self.headers.remove(place)),
             1 => self.headers.push(self.headers[place].clone()),
-            2 => self.headers[place].1 = odd,
-            3 => self.headers.push(("Content-Length".into(), odd)),
-            4 => self.headers.push(("Transfer-Encoding".into(), odd)),
-            _ => self.headers.push(("Connection".into(), odd)),
+            2 => self.headers[place].1 = invalid,
+            3 => self.headers.push(("Content-Length".into(), invalid)),
+            4 => self.headers.push(("Transfer-Encoding".into(), invalid)),
+            _ => self.headers.push(("Connection".into(), invalid)),
         }
     }
 
-    /// The bytes of the message.
+    /// Returns the bytes of the message.
     pub fn write(&self, rng: &mut Random) -> Vec<u8> {
         let mut text = format!("{}\r\n", self.start);
         for (name, value) in &self.headers {
@@ -106,25 +106,27 @@
         text += &match self.framing {
             Framing::None => String::new(),
             Framing::Length => format!("Content-Length: {length}\r\n"),
-            Framing::Wrong => format!("Content-Length: {}\r\n", bytes::number(rng)),
-            Framing::Chunks | Framing::Broken => "Transfer-Encoding: chunked\r\n".into(),
+            Framing::WrongLength => format!("Content-Length: {}\r\n", bytes::number(rng)),
+            Framing::Chunks | Framing::InvalidChunkSize => "Transfer-Encoding: chunked\r\n".into(),
             Framing::Both => {
                 format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n")
             }
         };
         let mut message = (text + "\r\n").into_bytes();
         match self.framing {
-            Framing::None | Framing::Length | Framing::Wrong => message.extend(&self.body),
-            Framing::Chunks | Framing::Broken | Framing::Both => self.chunks(&mut message, rng),
+            Framing::None | Framing::Length | Framing::WrongLength => message.extend(&self.body),
+            Framing::Chunks | Framing::InvalidChunkSize | Framing::Both => {
+                self.write_chunks(&mut message, rng)
+            }
         }
         message
     }
 
-    fn chunks(&self, message: &mut Vec<u8>, rng: &mut Random) {
+    fn write_chunks(&self, message: &mut Vec<u8>, rng: &mut Random) {
         let size = rng.random_range(1..=self.body.len().max(1));
         for chunk in self.body.chunks(size) {
-            let broken = self.framing == Framing::Broken && rng.random_ratio(1, 2);
-            let length = if broken { bytes::number(rng) } else { chunk.len() as u64 };
+            let invalid = self.framing == Framing::InvalidChunkSize && rng.random_ratio(1, 2);
+            let length = if invalid { bytes::number(rng) } else { chunk.len() as u64 };
             message.extend(format!("{length:x}\r\n").as_bytes());
             message.extend(chunk);
             message.extend(b"\r\n");
@@ -133,26 +135,27 @@
     }
 }
 
-/// A whole answer, as far as it is one.
+/// A complete HTTP response.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// The status.
+pub struct Response {
+    /// The status code.
     pub status: u16,
-    /// Names in lower case, and values.
+    /// Names in lower case, with their values.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl Answer {
-    /// The first value of a header.
+impl Response {
+    /// Returns the first value of a header, whose name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// Takes the first answer off `bytes`; `None` if there is no whole one. An answer without its
-    /// body is whole when nothing or another answer follows, as after `HEAD`.
-    pub fn take(bytes: &mut &[u8]) -> Option<Answer> {
+    /// Parses the first response and removes it from `bytes`. Returns `None` if it is incomplete or
+    /// malformed. A response without its body is complete when nothing or another response follows,
+    /// as after `HEAD`.
+    pub fn parse(bytes: &mut &[u8]) -> Option<Response> {
         let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
         let head = std::str::from_utf8(&bytes[..end]).ok()?;
         let mut lines = head.split("\r\n");
@@ -160,16 +163,16 @@
         let headers = lines
             .map(|line| line.split_once(": ").map(|(n, v)| (n.to_ascii_lowercase(), v.into())))
             .collect::<Option<Vec<_>>>()?;
-        let mut answer = Answer { status, headers, body: Vec::new() };
+        let mut response = Response { status, headers, body: Vec::new() };
         let rest = &bytes[end + 4..];
         let length = match status {
             100 => 0,
-            _ => answer.header("content-length")?.parse().ok()?,
+            _ => response.header("content-length")?.parse().ok()?,
         };
         let bodiless = rest.is_empty() || rest.starts_with(b"HTTP/1.");
         let length = if bodiless { 0 } else { length };
-        answer.body = rest.get(..length)?.to_vec();
+        response.body = rest.get(..length)?.to_vec();
         *bytes = &rest[length..];
-        Some(answer)
+        Some(response)
     }
 }
--- a/fuzz/src/json.rs
+++ b/fuzz/src/json.rs
@@ -1,13 +1,14 @@
-//! Changes to JSON documents.
+//! Random changes to JSON documents.
 
 use crate::{Random, bytes};
 use rand::{Rng, seq::IndexedRandom};
 use serde_json::{Map, Value, json};
 
-/// The text of `value` after up to three changes to its parts, and sometimes to the text.
-pub fn hostile(mut value: Value, rng: &mut Random) -> Vec<u8> {
+/// Returns the text of `value` after up to three changes to its parts, and in one of three calls
+/// further changes to the text itself.
+pub fn mutated_text(mut value: Value, rng: &mut Random) -> Vec<u8> {
     for _ in 0..rng.random_range(0..=3) {
-        change(&mut value, rng);
+        mutate(&mut value, rng);
     }
     let mut text = serde_json::to_vec(&value).unwrap_or_default();
     if rng.random_ratio(1, 3) {
@@ -17,14 +18,14 @@
 }
 
 /// Changes one part of `value`.
-pub fn change(value: &mut Value, rng: &mut Random) {
+pub fn mutate(value: &mut Value, rng: &mut Random) {
     match value {
         Value::Object(members) if !members.is_empty() && !rng.random_ratio(1, 6) => {
             let place = rng.random_range(0..members.len());
             match rng.random_range(0..8) {
                 0 => remove(members, place),
                 1 => rename(members, place, rng),
-                _ => members.values_mut().nth(place).into_iter().for_each(|v| change(v, rng)),
+                _ => members.values_mut().nth(place).into_iter().for_each(|v| mutate(v, rng)),
             }
         }
         Value::Array(items) if !items.is_empty() && !rng.random_ratio(1, 6) => {
@@ -32,10 +33,10 @@
             match rng.random_range(0..6) {
                 0 => drop(items.remove(place)),
                 1 => items.push(items[place].clone()),
-                _ => change(&mut items[place], rng),
+                _ => mutate(&mut items[place], rng),
             }
         }
-        _ => *value = other(rng),
+        _ => *value = any_value(rng),
     }
 }
 
@@ -52,8 +53,8 @@
     }
 }
 
-/// A value of any type.
-pub fn other(rng: &mut Random) -> Value {
+/// Returns a value of any JSON type.
+pub fn any_value(rng: &mut Random) -> Value {
     match rng.random_range(0..10) {
         0 => Value::Null,
         1 => Value::Bool(rng.random()),
@@ -68,7 +69,7 @@
     }
 }
 
-/// A text, often an odd one.
+/// Returns a text, often one that parsers of numbers, addresses, patterns or paths may mishandle.
 pub fn text(rng: &mut Random) -> String {
     const TEXTS: [&str; 20] = [
         "",
--- a/fuzz/src/lib.rs
+++ b/fuzz/src/lib.rs
@@ -1,8 +1,8 @@
-//! Generated bad input for everything that an entry reads from others.
+//! Generates malformed input for everything that an entry reads from other processes.
 //!
-//! A [`Target`] makes cases from a seed and runs them; [`run::Run`] holds each case to bounds on
-//! memory and time, and to the target's own properties. A case is a string of bytes, so that one
-//! that failed can be kept in a file. `docs/FUZZING.md` tells what was found.
+//! A [`Target`] generates cases from a random source and runs them; [`run::Run`] checks each case
+//! against bounds on memory and time and against the target's own properties. A case is a byte
+//! string, so that a failed one can be stored in a file. `docs/FUZZING.md` lists the findings.
 
 pub mod bytes;
 pub mod cases;
@@ -20,5 +20,5 @@
 pub use finding::{Finding, Outcome};
 pub use target::Target;
 
-/// The source of all random choices.
+/// The source of all random choices, seeded for each case.
 pub type Random = rand_chacha::ChaCha8Rng;
--- a/fuzz/src/main.rs
+++ b/fuzz/src/main.rs
@@ -14,22 +14,22 @@
     time::Instant,
 };
 
-/// Runs generated cases. Keeps the first case of each finding in fuzz/cases/.
+/// Runs generated cases. Stores the first case of each finding, minimised, in fuzz/cases/.
 #[derive(Debug, Parser)]
 struct Cli {
-    /// What to run them against.
+    /// The target to run.
     #[arg(long)]
     target: Name,
-    /// How many.
+    /// Number of cases.
     #[arg(long, default_value_t = 100_000)]
     cases: u64,
-    /// What they are made from.
+    /// Seed of the random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Print the case in this file instead, and what becomes of it.
+    /// Run only the case in this file, and print it and its result.
     #[arg(long)]
     show: Option<PathBuf>,
-    /// Go on after a finding.
+    /// Continue after a finding.
     #[arg(long)]
     keep_going: bool,
 }
@@ -53,9 +53,9 @@
     );
     run.outcomes.iter().for_each(|(outcome, count)| println!("{count:>10}  {outcome}"));
     for (count, case, finding) in run.findings.values() {
-        let small = shrink::minimise(target.as_mut(), case, finding);
-        let kept = cases::keep(target.name(), finding.name(), &small);
-        println!("{count:>10}  FINDING {finding}\n            kept as {kept:?}");
+        let minimised = shrink::minimise(target.as_mut(), case, finding);
+        let path = cases::save(target.name(), finding.name(), &minimised);
+        println!("{count:>10}  FINDING {finding}\n            kept as {path:?}");
     }
     if run.findings.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/fuzz/src/panics.rs
+++ b/fuzz/src/panics.rs
@@ -1,4 +1,4 @@
-//! Notes panics of all threads.
+//! Records panics of all threads.
 
 use crate::Finding;
 use parking_lot::Mutex;
@@ -9,27 +9,28 @@
 };
 
 static HOOK: Once = Once::new();
-static SEEN: Mutex<Vec<String>> = Mutex::new(Vec::new());
+static RECORDED: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-/// Runs `f`. Panics anywhere in the process meanwhile are a finding.
+/// Runs `f`. Panics of any thread of the process meanwhile are a finding.
 ///
 /// # Errors
 ///
-/// Those of `f`, and panics.
-pub fn watch<T>(f: impl FnOnce() -> Result<T, Finding>) -> Result<T, Finding> {
+/// Those of `f`, and [`Finding::Panic`] after a panic.
+pub fn catch<T>(f: impl FnOnce() -> Result<T, Finding>) -> Result<T, Finding> {
     HOOK.call_once(|| {
-        panic::set_hook(Box::new(|info| SEEN.lock().push(describe(info))));
+        panic::set_hook(Box::new(|info| RECORDED.lock().push(describe(info))));
     });
-    SEEN.lock().clear();
+    RECORDED.lock().clear();
     let result = panic::catch_unwind(AssertUnwindSafe(f));
-    let seen = std::mem::take(&mut *SEEN.lock());
+    let recorded = std::mem::take(&mut *RECORDED.lock());
     match result {
-        Ok(result) if seen.is_empty() => result,
-        _ => Err(Finding::Panic { text: seen.join("; ") }),
+        Ok(result) if recorded.is_empty() => result,
+        _ => Err(Finding::Panic { text: recorded.join("; ") }),
     }
 }
 
-/// Message and place; for a panic inside the standard library, the place that led there.
+/// Returns message and source location. For a panic inside the standard library, adds the location
+/// under `components/` that led there, the first such line of the backtrace.
 fn describe(info: &PanicHookInfo<'_>) -> String {
     let text = info.to_string();
     if !info.location().is_some_and(|place| place.file().starts_with("/rustc/")) {
--- a/fuzz/src/responder.rs
+++ b/fuzz/src/responder.rs
@@ -1,4 +1,4 @@
-//! A server that answers whatever it is told to.
+//! A TCP server that sends given bytes in response to each request.
 
 use parking_lot::Mutex;
 use std::{
@@ -12,23 +12,24 @@
     time::Duration,
 };
 
-/// Longest wait for a request, and for the rest of one.
-const WAIT: Duration = Duration::from_millis(100);
+/// Longest wait for more bytes of a request.
+const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest request that is read.
-const MOST: usize = 64 << 10;
+/// Limit on the size of a request, in bytes.
+const MAX_REQUEST_BYTES: usize = 64 << 10;
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What is answered.
+/// How the server responds to requests.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    /// Sent after each request.
-    pub answer: Vec<u8>,
-    /// Ask for the body of a request whose sender waits to be asked.
-    pub asks: bool,
-    /// Serve more requests on the same connection.
-    pub stays: bool,
+    /// Bytes sent after each request.
+    pub response: Vec<u8>,
+    /// Whether a request with `Expect: 100-continue` gets a `100 Continue` before its body is read.
+    /// If not, its body is not read.
+    pub sends_continue: bool,
+    /// Whether the connection stays open for further requests.
+    pub keep_alive: bool,
 }
 
 /// A server on loopback. Stops when dropped.
@@ -44,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// When there is none.
+    /// When no port is free.
     pub fn start() -> io::Result<Responder> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -56,20 +57,20 @@
                     return;
                 }
                 let script = script.clone();
-                // The other end may be gone.
+                // Errors are ignored: the client may have closed the connection.
                 thread::spawn(move || drop(serve(stream, &script)));
             }
         });
         Ok(responder)
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What is answered from now on.
-    pub fn play(&self, script: Script) {
+    /// Sets the response to all later requests.
+    pub fn set_script(&self, script: Script) {
         *self.script.lock() = script;
     }
 }
@@ -77,14 +78,14 @@
 impl Drop for Responder {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        // Wakes the thread that accepts.
+        // Unblocks the thread that accepts connections.
         drop(TcpStream::connect(self.address));
     }
 }
 
 fn serve(mut stream: TcpStream, script: &Mutex<Script>) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(WAIT))?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
     loop {
         let mut request = Vec::new();
         let head = read_until(&mut stream, &mut request, |request| {
@@ -92,16 +93,16 @@
         })?;
         let script = script.lock().clone();
         let text = String::from_utf8_lossy(&request[..head]).to_ascii_lowercase();
-        if script.asks && text.contains("expect: 100-continue") {
+        if script.sends_continue && text.contains("expect: 100-continue") {
             stream.write_all(CONTINUE)?;
         }
-        if script.asks || !text.contains("expect: 100-continue") {
-            let whole = head + length(&text);
-            let arrived = |request: &[u8]| (request.len() >= whole).then_some(whole);
+        if script.sends_continue || !text.contains("expect: 100-continue") {
+            let end = head + content_length(&text);
+            let arrived = |request: &[u8]| (request.len() >= end).then_some(end);
             read_until(&mut stream, &mut request, arrived)?;
         }
-        stream.write_all(&script.answer)?;
-        if !script.stays {
+        stream.write_all(&script.response)?;
+        if !script.keep_alive {
             return Ok(());
         }
     }
@@ -110,22 +111,22 @@
 fn read_until(
     stream: &mut TcpStream,
     request: &mut Vec<u8>,
-    whole: impl Fn(&[u8]) -> Option<usize>,
+    find_end: impl Fn(&[u8]) -> Option<usize>,
 ) -> io::Result<usize> {
     let mut chunk = [0; 4 << 10];
     loop {
-        if let Some(end) = whole(request) {
+        if let Some(end) = find_end(request) {
             return Ok(end);
         }
         match stream.read(&mut chunk)? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            _ if request.len() > MOST => return Err(io::ErrorKind::InvalidData.into()),
+            _ if request.len() > MAX_REQUEST_BYTES => return Err(io::ErrorKind::InvalidData.into()),
             count => request.extend_from_slice(&chunk[..count]),
         }
     }
 }
 
-fn length(head: &str) -> usize {
+fn content_length(head: &str) -> usize {
     let value = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     value.and_then(|value| value.trim().parse().ok()).unwrap_or(0)
 }
--- a/fuzz/src/run.rs
+++ b/fuzz/src/run.rs
@@ -1,42 +1,43 @@
-//! Runs cases and counts what became of them.
+//! Runs cases and counts their results.
 
 use crate::{Finding, Outcome, Random, Target, heap, panics, watchdog};
 use compact_str::CompactString;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 
-/// A run of a target.
+/// Counts of the cases run on a target.
 #[derive(Debug, Default)]
 pub struct Run {
-    /// Cases run.
+    /// Number of cases run.
     pub cases: u64,
-    /// Bytes of all cases.
+    /// Total size of the cases, in bytes.
     pub bytes: u64,
-    /// Cases by outcome.
+    /// Number of cases without a finding by their result.
     pub outcomes: BTreeMap<CompactString, u64>,
-    /// Most bytes by which the heap grew in one case.
+    /// Largest growth of the heap in one case, in bytes.
     pub peak: usize,
-    /// Findings by what they tell, with their number and the first case.
+    /// Findings by their [`summary`], with their number and the first case and its finding.
     pub findings: BTreeMap<String, (u64, Vec<u8>, Finding)>,
 }
 
 impl Run {
-    /// Runs `cases` cases of `target` from `seed`; up to the first finding unless `on`.
-    pub fn generate(target: &mut dyn Target, cases: u64, seed: u64, on: bool) -> Run {
+    /// Runs `cases` cases of `target` that are generated from `seed`. Stops at the first finding
+    /// unless `keep_going`.
+    pub fn generate(target: &mut dyn Target, cases: u64, seed: u64, keep_going: bool) -> Run {
         let mut run = Run::default();
         for number in 0..cases {
             let rng = &mut Random::seed_from_u64(seed);
             rng.set_stream(number);
             let case = target.generate(rng);
             run.add(target, &case);
-            if !on && !run.findings.is_empty() {
+            if !keep_going && !run.findings.is_empty() {
                 break;
             }
         }
         run
     }
 
-    /// Runs one case.
+    /// Runs one case and counts its result.
     pub fn add(&mut self, target: &mut dyn Target, case: &[u8]) {
         self.cases += 1;
         self.bytes += case.len() as u64;
@@ -53,19 +54,20 @@
     }
 }
 
-/// Runs one case under all bounds. Returns its outcome and the peak of the heap.
+/// Runs one case and checks all bounds. Returns its result and the peak growth of the heap in
+/// bytes.
 pub fn check(target: &mut dyn Target, case: &[u8]) -> (Outcome, usize) {
     watchdog::start();
-    let bound = target.bound();
+    let bound = target.heap_bound();
     let (result, bytes) =
-        heap::peak(|| watchdog::guard(target.name(), case, || panics::watch(|| target.run(case))));
+        heap::peak(|| watchdog::guard(target.name(), case, || panics::catch(|| target.run(case))));
     match result {
         Ok(_) if bytes > bound => (Err(Finding::Memory { bytes, bound }), bytes),
         result => (result, bytes),
     }
 }
 
-/// Findings that tell the same are one.
+/// Returns the text by which findings are grouped: those with the same text count as one.
 pub fn summary(finding: &Finding) -> String {
     match finding {
         Finding::Panic { text } => text.clone(),
--- a/fuzz/src/shrink.rs
+++ b/fuzz/src/shrink.rs
@@ -1,11 +1,12 @@
-//! Makes cases smaller.
+//! Minimises failed cases.
 
 use crate::{Finding, Target, run};
 
-/// Most cases that are tried.
-const TRIES: usize = 3_000;
+/// Number of smaller cases that [`minimise`] tries at most.
+const MAX_TRIES: usize = 3_000;
 
-/// `whole` without a part of it, for parts of all sizes down to one, the largest first.
+/// Returns copies of `whole` that each lack one part. The size of the part is halved from half of
+/// `whole` down to one item, the largest parts first.
 pub fn without_parts<T: Clone>(whole: &[T]) -> Vec<Vec<T>> {
     let mut smaller = Vec::new();
     let mut size = whole.len().div_ceil(2);
@@ -19,13 +20,13 @@
     smaller
 }
 
-/// The smallest case that was found to have the same finding.
+/// Returns the smallest case that was found with the same [`run::summary`] of its finding.
 pub fn minimise(target: &mut dyn Target, case: &[u8], finding: &Finding) -> Vec<u8> {
     let wanted = run::summary(finding);
-    let mut least = case.to_vec();
+    let mut smallest = case.to_vec();
     let mut tries = 0;
     loop {
-        let smaller = target.smaller(&least).into_iter().take(TRIES - tries);
+        let smaller = target.smaller(&smallest).into_iter().take(MAX_TRIES - tries);
         let mut found = None;
         for case in smaller {
             tries += 1;
@@ -36,9 +37,9 @@
             }
         }
         match found {
-            Some(case) if tries < TRIES => least = case,
+            Some(case) if tries < MAX_TRIES => smallest = case,
             Some(case) => return case,
-            None => return least,
+            None => return smallest,
         }
     }
 }
--- a/fuzz/src/target/documents.rs
+++ b/fuzz/src/target/documents.rs
@@ -1,6 +1,6 @@
-//! Documents in the platform's store: claims, the manifest, registrations and VMs.
+//! Target for documents in the platform's store: key claims, the manifest, registrations and VMs.
 
-use super::{Target, shelf::Shelf};
+use super::{Target, stub_store::StubStore};
 use crate::{Outcome, Random, bytes, json};
 use platform::{
     Mirror, Store,
@@ -21,18 +21,18 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Most heap for one document.
-const BOUND: usize = 256 << 10;
+/// Largest growth of the heap for one document, in bytes.
+const HEAP_BOUND: usize = 256 << 10;
 
 const KINDS: u8 = 7;
 const KEY: &str = "the caller's key";
 const FILE: &str = "{}";
 
-/// Documents.
+/// Documents. A case is an encoded `Case`.
 #[derive(Debug)]
 pub struct Documents;
 
-/// One document and how it is read.
+/// One document, the function that reads it and the state of the store.
 #[derive(Debug, Serialize, Deserialize)]
 struct Case {
     kind: u8,
@@ -47,15 +47,15 @@
         "documents"
     }
 
-    fn bound(&self) -> usize {
-        BOUND
+    fn heap_bound(&self) -> usize {
+        HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
         let kind = rng.random_range(0..KINDS);
         let document = match rng.random_ratio(1, 20) {
             true => bytes::arbitrary(rng, 300),
-            false => json::hostile(document(kind, rng), rng),
+            false => json::mutated_text(document(kind, rng), rng),
         };
         let suffix = match rng.random_ratio(1, 4) {
             true => json::text(rng),
@@ -68,13 +68,13 @@
 
     fn run(&mut self, case: &[u8]) -> Outcome {
         let Ok(case) = postcard::from_bytes::<Case>(case) else { return Ok("no case".into()) };
-        let shelf = Arc::new(Shelf {
+        let stub = Arc::new(StubStore {
             document: case.document.into(),
             revision: Revision(case.revision),
-            yields: case.yields,
+            succeeds: case.yields,
             suffix: case.suffix,
         });
-        let outcome = match smol::block_on(read(case.kind % KINDS, shelf)) {
+        let outcome = match smol::block_on(read(case.kind % KINDS, stub)) {
             Reading::Understood => "understood",
             Reading::Refused => "refused",
             Reading::Skipped => "left out",
@@ -89,6 +89,7 @@
     }
 }
 
+/// How the function under test handled the document.
 enum Reading {
     Understood,
     Refused,
@@ -107,12 +108,12 @@
     }
 }
 
-fn count(documents: usize) -> Reading {
+fn from_count(documents: usize) -> Reading {
     if documents == 0 { Reading::Skipped } else { Reading::Understood }
 }
 
-async fn read(kind: u8, shelf: Arc<Shelf>) -> Reading {
-    let store: &dyn Store = &*shelf;
+async fn read(kind: u8, stub: Arc<StubStore>) -> Reading {
+    let store: &dyn Store = &*stub;
     let files = || -> Files { [("a.json".into(), FILE.into())].into() };
     match kind {
         0 => claim::claim(store, &RateLimiter::new(10, 10), now(), claim()).await.into(),
@@ -123,13 +124,13 @@
         }
         3 => manifest::prune(store).await.into(),
         4 => registry::register(store, entry(), Seconds(10)).await.into(),
-        5 => follow(registry::watch(shelf.clone())).await,
-        _ => follow(vms::watch(shelf.clone())).await,
+        5 => read_mirror(registry::watch(stub.clone())).await,
+        _ => read_mirror(vms::watch(stub.clone())).await,
     }
 }
 
-/// Lists, and takes one change.
-async fn follow<T>(mut mirror: Mirror<T>) -> Reading {
+/// Reads the listing and two further results of the mirror.
+async fn read_mirror<T>(mut mirror: Mirror<T>) -> Reading {
     let listed = match mirror.next().await {
         Ok(documents) => documents.len(),
         Err(_) => return Reading::Refused,
@@ -139,7 +140,7 @@
             return Reading::Refused;
         }
     }
-    count(listed)
+    from_count(listed)
 }
 
 fn now() -> Now {
--- a/fuzz/src/target/endpoint.rs
+++ b/fuzz/src/target/endpoint.rs
@@ -1,4 +1,4 @@
-//! Answers of executors and workers.
+//! Target for HTTP responses of executors and workers.
 
 use super::Target;
 use crate::{
@@ -19,45 +19,49 @@
     unit::{Memory, Resources, Span},
 };
 
-/// Most heap for one answer.
-const BOUND: usize = 2 << 20;
+/// Largest growth of the heap for one response, in bytes.
+const HEAP_BOUND: usize = 2 << 20;
 
-/// Largest body of an answer.
-const BODY: Memory = Memory(4 << 10);
+/// Limit on the body of a response.
+const BODY_LIMIT: Memory = Memory(4 << 10);
 
-/// Cases that share a client and a server.
-const ROTATE: u32 = 4_000;
+/// Number of cases that share a client and a server.
+const CASES_PER_SERVER: u32 = 4_000;
 
 const ATTEMPT: AttemptId = AttemptId(0x2a);
 const INCARNATION: Incarnation = Incarnation(7);
 
-/// What is asked of the endpoint.
+/// Number of kinds of calls to the endpoint.
 const CALLS: u8 = 5;
 
-/// Answers to calls. The first byte of a case chooses the call, the second whether the connection
-/// stays; the rest is the answer.
+/// Responses to calls. The first byte of a case selects the call, the second whether the connection
+/// stays open; the rest is the response.
 #[derive(Debug, Default)]
 pub struct Endpoint {
-    bench: Option<Bench>,
+    harness: Option<Harness>,
 }
 
 #[derive(Debug)]
-struct Bench {
+struct Harness {
     responder: Responder,
     client: Client,
-    left: u32,
+    cases_left: u32,
 }
 
-impl Bench {
-    fn start() -> Bench {
-        let short = Span::from_millis(500);
+impl Harness {
+    fn start() -> Harness {
+        let timeout = Span::from_millis(500);
         let options = Options {
-            control_timeout: short,
+            control_timeout: timeout,
             idle_limit: Span::from_millis(80),
             ..Options::default()
         };
         let responder = Responder::start().expect("loopback has a free port");
-        Bench { responder, client: Client::new(INCARNATION, options), left: ROTATE }
+        Harness {
+            responder,
+            client: Client::new(INCARNATION, options),
+            cases_left: CASES_PER_SERVER,
+        }
     }
 
     fn call(&self, place: Place) -> Report {
@@ -71,7 +75,7 @@
             body: "body".into(),
             needs: Resources::default(),
             time_limit: Span::from_millis(500),
-            body_limit: BODY,
+            body_limit: BODY_LIMIT,
             connections: 2,
         };
         smol::block_on(self.client.call(call))
@@ -83,66 +87,71 @@
         "endpoint"
     }
 
-    fn bound(&self) -> usize {
-        BOUND
+    fn heap_bound(&self) -> usize {
+        HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
         let call = rng.random_range(0..CALLS);
-        let mut answer = message(call, rng).write(rng);
+        let mut response = message(call, rng).write(rng);
         if rng.random_ratio(1, 20) {
-            answer = bytes::arbitrary(rng, 300);
+            response = bytes::arbitrary(rng, 300);
         }
         if rng.random_ratio(2, 5) {
-            bytes::mutate(&mut answer, rng);
+            bytes::mutate(&mut response, rng);
         }
         if rng.random_ratio(1, 10) {
             let second = message(call, rng).write(rng);
-            answer.extend(second);
+            response.extend(second);
         }
-        [&[call, rng.random_range(0..2)], &answer[..]].concat()
+        [&[call, rng.random_range(0..2)], &response[..]].concat()
     }
 
     fn run(&mut self, case: &[u8]) -> Outcome {
-        let [call, stays, answer @ ..] = case else { return Ok("no case".into()) };
-        if self.bench.as_ref().is_none_or(|bench| bench.left == 0) {
-            self.bench = Some(Bench::start());
+        let [call, keep_alive, response @ ..] = case else { return Ok("no case".into()) };
+        if self.harness.as_ref().is_none_or(|harness| harness.cases_left == 0) {
+            self.harness = Some(Harness::start());
         }
-        let bench = self.bench.get_or_insert_with(Bench::start);
-        bench.left = bench.left.saturating_sub(1);
-        let stays = *stays == 1;
-        bench.responder.play(Script { answer: answer.to_vec(), asks: true, stays });
-        let address = bench.responder.address();
+        let harness = self.harness.get_or_insert_with(Harness::start);
+        harness.cases_left = harness.cases_left.saturating_sub(1);
+        let keep_alive = *keep_alive == 1;
+        harness.responder.set_script(Script {
+            response: response.to_vec(),
+            sends_continue: true,
+            keep_alive,
+        });
+        let address = harness.responder.address();
         match call % CALLS {
-            0 => judge(&bench.call(Place::Executors).reply, answer),
-            1 => judge(&bench.call(Place::Workers).reply, answer),
+            0 => check_reply(&harness.call(Place::Executors).reply, response),
+            1 => check_reply(&harness.call(Place::Workers).reply, response),
             2 => {
-                let stop = smol::block_on(bench.client.stop(address, ATTEMPT));
+                let stop = smol::block_on(harness.client.stop(address, ATTEMPT));
                 Ok(if stop == endpoint::Stop::Unknown { "no stop" } else { "stop" }.into())
             }
-            3 => match smol::block_on(bench.client.probe(address)) {
+            3 => match smol::block_on(harness.client.probe(address)) {
                 endpoint::Probe::Alive { .. } => Ok("probe alive".into()),
                 endpoint::Probe::Unreachable(_) => Ok("probe unreachable".into()),
                 endpoint::Probe::Silent => Ok("probe silent".into()),
             },
             _ => {
-                let usage = smol::block_on(bench.client.usage(address));
+                let usage = smol::block_on(harness.client.usage(address));
                 Ok(usage.map_or("no usage", |_| "usage").into())
             }
         }
     }
 }
 
-/// An answer says that nothing ran only where the endpoint said so: it got the whole request.
-fn judge(reply: &Reply, answer: &[u8]) -> Outcome {
-    let text = String::from_utf8_lossy(answer);
-    let broken = |property| Err(Finding::Broken { property, detail: format!("{reply:?}") });
+/// Checks the reply. It may say that nothing ran only where the endpoint said so, since the
+/// endpoint received the whole request. A body must not exceed the limit.
+fn check_reply(reply: &Reply, response: &[u8]) -> Outcome {
+    let text = String::from_utf8_lossy(response);
+    let violation = |property| Err(Finding::Broken { property, detail: format!("{reply:?}") });
     if !reply.may_have_run() && !text.contains("not-run") {
-        return broken("what was received did not run only if the answer says so");
+        return violation("a received request counts as not run only if the response says so");
     }
     match reply {
-        Reply::Done(output) | Reply::Failed(output) if output.body.len() as u64 > BODY.0 => {
-            broken("no body is over the limit")
+        Reply::Done(output) | Reply::Failed(output) if output.body.len() as u64 > BODY_LIMIT.0 => {
+            violation("no body is over the limit")
         }
         _ => Ok(reply.name().into()),
     }
@@ -191,23 +200,23 @@
         start: format!("{version} {status}"),
         headers: headers.map(|(name, value)| ((*name).into(), (*value).into())).collect(),
         body: body(call, rng),
-        framing: Framing::any(rng),
+        framing: Framing::random(rng),
     };
-    message.spoil(rng);
+    message.corrupt(rng);
     message
 }
 
 fn body(call: u8, rng: &mut Random) -> Vec<u8> {
     let used = json!({ "slots": 0, "cores": "500m", "memory": "1GiB", "accelerators": 0 });
     match call {
-        2 => json::hostile(json!({ "state": "never" }), rng),
+        2 => json::mutated_text(json!({ "state": "never" }), rng),
         4 => {
             let tasks = json!([{ "attempt": "7-2a", "used": used }]);
-            json::hostile(json!({ "age": "100ms", "tasks": tasks }), rng)
+            json::mutated_text(json!({ "age": "100ms", "tasks": tasks }), rng)
         }
         _ => {
-            let most = if rng.random_ratio(1, 10) { 8 << 10 } else { 200 };
-            bytes::arbitrary(rng, most)
+            let max_len = if rng.random_ratio(1, 10) { 8 << 10 } else { 200 };
+            bytes::arbitrary(rng, max_len)
         }
     }
 }
--- a/fuzz/src/target/mod.rs
+++ b/fuzz/src/target/mod.rs
@@ -1,4 +1,4 @@
-//! What is fuzzed.
+//! The targets: the parsers and state machines that the generated cases run against.
 
 pub mod documents;
 pub mod endpoint;
@@ -6,65 +6,65 @@
 pub mod platform;
 pub mod requests;
 pub mod settings;
-mod shelf;
+mod stub_store;
 
 use crate::{Outcome, Random, shrink};
 use clap::ValueEnum;
 
-/// Something that reads from others.
+/// Code that handles input from other processes.
 pub trait Target {
-    /// The folder of its cases.
+    /// Returns the name of the target, which is also the name of the directory of its stored cases.
     fn name(&self) -> &'static str;
 
-    /// Most bytes by which the heap may grow while a case runs.
-    fn bound(&self) -> usize;
+    /// Returns the largest growth of the heap that is allowed while a case runs, in bytes.
+    fn heap_bound(&self) -> usize;
 
-    /// Makes a case.
+    /// Generates a case.
     fn generate(&mut self, rng: &mut Random) -> Vec<u8>;
 
-    /// Runs a case, and names what became of it.
+    /// Runs a case and returns a short name of its result.
     ///
     /// # Errors
     ///
     /// A property that does not hold.
     fn run(&mut self, case: &[u8]) -> Outcome;
 
-    /// Cases that are smaller than `case`, the smallest first.
+    /// Returns cases that are smaller than `case`, the smallest first.
     fn smaller(&self, case: &[u8]) -> Vec<Vec<u8>> {
         shrink::without_parts(case)
     }
 
-    /// A case as people read it.
+    /// Returns a case as readable text.
     fn show(&self, case: &[u8]) -> String {
         String::from_utf8_lossy(case).into_owned()
     }
 }
 
-/// The targets.
+/// Names of the targets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum Name {
     /// Callers' requests, over a socket.
     Requests,
-    /// Folders of settings.
+    /// Directories of site settings.
     Settings,
-    /// Settings of a daemon.
+    /// Settings files of a daemon.
     Daemon,
-    /// Answers of the platform's gateway, over a socket.
+    /// Responses of the platform's gateway, over a socket.
     Platform,
     /// Documents in the platform's store.
     Documents,
-    /// Answers of executors and workers, over a socket.
+    /// Responses of executors and workers, over a socket.
     Endpoint,
     /// Messages of other entries.
     Peers,
 }
 
 impl Name {
-    /// A fresh target.
+    /// Creates the target.
     pub fn open(self) -> Box<dyn Target> {
         match self {
             Name::Requests => Box::new(requests::Requests::default()),
-            Name::Settings => Box::new(settings::Folders::default()),
+            Name::Settings => Box::new(settings::Directories::default()),
             Name::Daemon => Box::new(settings::Daemons),
             Name::Platform => Box::new(platform::Platform::default()),
             Name::Documents => Box::new(documents::Documents),
--- a/fuzz/src/target/peers.rs
+++ b/fuzz/src/target/peers.rs
@@ -1,23 +1,23 @@
-//! Messages of other entries, handed to the decision logic.
+//! Target for messages of other entries, which the state machine of an entry handles.
 
+mod deployment;
 mod generate;
-mod play;
-mod site;
+mod simulation;
 mod step;
 
 use super::Target;
 use crate::{Outcome, Random, shrink};
 use compact_str::CompactString;
-use play::Play;
+use simulation::Simulation;
 use step::Step;
 
-/// Most heap for one case.
-const BOUND: usize = 24 << 20;
+/// Largest growth of the heap for one case, in bytes.
+const HEAP_BOUND: usize = 24 << 20;
 
-/// Steps of other entries. A case is a list of steps.
+/// Events of an entry. A case is a list of `Step`s.
 #[derive(Debug, Default)]
 pub struct Peers {
-    site: site::World,
+    deployment: deployment::Deployment,
 }
 
 impl Target for Peers {
@@ -25,19 +25,19 @@
         "peers"
     }
 
-    fn bound(&self) -> usize {
-        BOUND
+    fn heap_bound(&self) -> usize {
+        HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
-        postcard::to_stdvec(&generate::steps(&self.site, rng)).expect("steps can be written")
+        postcard::to_stdvec(&generate::steps(&self.deployment, rng)).expect("steps can be written")
     }
 
     fn run(&mut self, case: &[u8]) -> Outcome {
         let Ok(steps) = postcard::from_bytes::<Vec<Step>>(case) else {
             return Ok("no case".into());
         };
-        Play::new(&self.site).run(steps).map(CompactString::from)
+        Simulation::new(&self.deployment).run(steps).map(CompactString::from)
     }
 
     fn show(&self, case: &[u8]) -> String {
--- a/fuzz/src/target/peers/site.rs
+++ b/fuzz/src/target/peers/deployment.rs
@@ -1,4 +1,4 @@
-//! A small site.
+//! A small site with an entry and its peers.
 
 use dispatch::entry::Options;
 use settings::parse;
@@ -52,14 +52,14 @@
 /// Names of the services.
 pub(super) const SERVICES: [&str; 2] = ["cut", "lay"];
 
-/// The site, this entry and its peers.
+/// The site, the entry under test and its peers.
 #[derive(Debug)]
-pub(super) struct World {
+pub(super) struct Deployment {
     pub(super) site: Arc<Site>,
     pub(super) own: Home,
-    /// Peers that may be, and homes that can't be peers.
+    /// Four valid peers, followed by homes that can't be peers.
     pub(super) homes: Vec<Home>,
-    /// What each endpoint offers, by name.
+    /// Id and resources of each endpoint, by name.
     pub(super) offers: BTreeMap<String, (EndpointId, Resources)>,
 }
 
@@ -71,8 +71,8 @@
     }
 }
 
-impl Default for World {
-    fn default() -> World {
+impl Default for Deployment {
+    fn default() -> Deployment {
         let files = [("all.json".into(), SETTINGS.into())].into();
         let site = parse(&files).expect("the site's settings are whole").site;
         let slots = |executor: &site::Executor| {
@@ -104,12 +104,12 @@
             own,
             home("near", u64::MAX, u64::MAX),
         ];
-        World { site: Arc::new(site), own, homes, offers }
+        Deployment { site: Arc::new(site), own, homes, offers }
     }
 }
 
-impl World {
-    /// How this entry starts.
+impl Deployment {
+    /// Returns the options of the entry under test.
     pub(super) fn options(&self) -> Options {
         Options {
             home: self.own,
--- a/fuzz/src/target/peers/generate.rs
+++ b/fuzz/src/target/peers/generate.rs
@@ -1,7 +1,7 @@
-//! Steps, with numbers of any size in them.
+//! Generates random steps, with numbers of any size.
 
 use super::{
-    site::{FIRMS, SERVICES, World},
+    deployment::{Deployment, FIRMS, SERVICES},
     step::{End, Flood, Step},
 };
 use crate::{Random, bytes::number};
@@ -22,34 +22,35 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Messages of a flood.
-const COUNT: u16 = 20_000;
+/// Number of messages of a flood.
+const FLOOD_MESSAGES: u16 = 20_000;
 
-/// One more task than a submission may have.
-const TOO_MANY: usize = 781;
+/// Number of tasks that exceeds the limit of a submission by one.
+const TOO_MANY_TASKS: usize = 781;
 
-/// Up to forty steps.
-pub(super) fn steps(world: &World, rng: &mut Random) -> Vec<Step> {
-    let mut make = Make { world, rng };
-    let mut steps: Vec<Step> = (0..4).map(|n| Step::Up(world.homes[n])).collect();
-    if make.one_in(2) {
-        steps.push(Step::Registry(world.homes[..4].to_vec()));
+/// Returns a list of steps: four connections, sometimes a list of the registry, up to 39 random
+/// steps and rarely a flood.
+pub(super) fn steps(deployment: &Deployment, rng: &mut Random) -> Vec<Step> {
+    let mut generator = Generator { deployment, rng };
+    let mut steps: Vec<Step> = (0..4).map(|n| Step::Up(deployment.homes[n])).collect();
+    if generator.one_in(2) {
+        steps.push(Step::Registry(deployment.homes[..4].to_vec()));
     }
-    for _ in 0..make.rng.random_range(1..40) {
-        steps.push(make.step());
+    for _ in 0..generator.rng.random_range(1..40) {
+        steps.push(generator.step());
     }
-    if make.one_in(1_000) {
-        steps.push(make.flood());
+    if generator.one_in(1_000) {
+        steps.push(generator.flood());
     }
     steps
 }
 
-struct Make<'m> {
-    world: &'m World,
+struct Generator<'m> {
+    deployment: &'m Deployment,
     rng: &'m mut Random,
 }
 
-impl Make<'_> {
+impl Generator<'_> {
     fn one_in(&mut self, count: u32) -> bool {
         self.rng.random_ratio(1, count)
     }
@@ -62,8 +63,8 @@
         number(self.rng)
     }
 
-    /// A number of any size that fits.
-    fn narrow(&mut self) -> u32 {
+    /// Returns a number of any size, capped at the maximum of its type.
+    fn narrow_number(&mut self) -> u32 {
         u32::try_from(self.number()).unwrap_or(u32::MAX)
     }
 
@@ -99,15 +100,15 @@
             Flood::Holdings,
             Flood::Usage,
         ];
-        let from = self.world.homes[self.rng.random_range(0..4)];
-        Step::Flood { from, kind: self.pick(&KINDS), count: COUNT }
+        let from = self.deployment.homes[self.rng.random_range(0..4)];
+        Step::Flood { from, kind: self.pick(&KINDS), count: FLOOD_MESSAGES }
     }
 
     fn home(&mut self) -> Home {
         match self.one_in(20) {
-            true => Home { entry: EntryId(self.number()), ..self.world.homes[0] },
-            false if self.one_in(4) => self.pick(&self.world.homes),
-            false => self.pick(&self.world.homes[..4]),
+            true => Home { entry: EntryId(self.number()), ..self.deployment.homes[0] },
+            false if self.one_in(4) => self.pick(&self.deployment.homes),
+            false => self.pick(&self.deployment.homes[..4]),
         }
     }
 
@@ -118,16 +119,19 @@
             2 => Message::Fetch { request, id, firm, deadline: self.span() },
             3 => Message::Cancel { request, id, firm },
             4 => Message::Query { request, id, firm },
-            5 => Message::Progress { request: self.small(), status: self.status() },
-            6 => Message::Answered { request: self.small(), answer: Arc::new(self.answer()) },
-            7..=9 => Message::CapacityRequest(self.want()),
+            5 => Message::Progress { request: self.request_number(), status: self.status() },
+            6 => Message::Answered {
+                request: self.request_number(),
+                answer: Arc::new(self.answer()),
+            },
+            7..=9 => Message::CapacityRequest(self.capacity_request()),
             10 | 11 => Message::Lend(Lend { service: self.pool(), grants: self.grants() }),
-            12 => Message::Return(self.giveback()),
-            13 => Message::InUse(self.giveback()),
+            12 => Message::Return(self.service_grants()),
+            13 => Message::InUse(self.service_grants()),
             14 => Message::Usage(self.usage()),
             15 => Message::Heartbeat(self.heartbeat()),
             16 => Message::Handover(self.handover()),
-            17 => Message::HandoverStored { home: self.home(), part: self.narrow() },
+            17 => Message::HandoverStored { home: self.home(), part: self.narrow_number() },
             18 => Message::Moved { home: self.home(), successor: self.home() },
             _ if self.one_in(2) => Message::SettingsWanted { have: Revision(self.number()) },
             _ => {
@@ -138,14 +142,14 @@
         }
     }
 
-    /// Requests of an entry count from 1.
-    fn small(&mut self) -> u64 {
+    /// Returns the number of a request, often a small one: an entry numbers its requests from 1.
+    fn request_number(&mut self) -> u64 {
         if self.one_in(3) { self.number() } else { self.rng.random_range(0..6) }
     }
 
     fn id(&mut self) -> SubmissionId {
-        let home = if self.one_in(2) { self.world.own } else { self.home() };
-        let epoch = if self.one_in(6) { self.narrow() } else { 0 };
+        let home = if self.one_in(2) { self.deployment.own } else { self.home() };
+        let epoch = if self.one_in(6) { self.narrow_number() } else { 0 };
         let unique = Uuid::from_u128(self.rng.random_range(0..40));
         SubmissionId { token: Token { home, epoch }, unique }
     }
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The service of a pool; all workers are one pool.
+    /// Returns the service of a pool. The default stands for the pool of all workers.
     fn pool(&mut self) -> ServiceId {
         if self.one_in(4) { ServiceId::default() } else { self.service() }
     }
@@ -178,10 +182,10 @@
             return Resources::SLOT;
         }
         Resources {
-            slots: Slots(self.narrow()),
-            cores: Cores(self.narrow()),
+            slots: Slots(self.narrow_number()),
+            cores: Cores(self.narrow_number()),
             memory: Memory(self.number()),
-            accelerators: Accelerators(self.narrow() as u16),
+            accelerators: Accelerators(self.narrow_number() as u16),
         }
     }
 
@@ -196,7 +200,7 @@
 
     fn submission(&mut self) -> Submission {
         let count = match self.one_in(30) {
-            true => TOO_MANY,
+            true => TOO_MANY_TASKS,
             false => self.rng.random_range(0..6),
         };
         let tasks = (0..count).map(|_| self.task()).collect();
@@ -237,21 +241,21 @@
     }
 
     fn demand(&mut self) -> Demand {
-        Demand { firm: self.firm(), jobs: self.narrow() }
+        Demand { firm: self.firm(), jobs: self.narrow_number() }
     }
 
-    fn want(&mut self) -> CapacityRequest {
+    fn capacity_request(&mut self) -> CapacityRequest {
         CapacityRequest {
             service: self.pool(),
-            tasks: self.narrow(),
-            held: self.narrow(),
+            tasks: self.narrow_number(),
+            held: self.narrow_number(),
             needs: self.resources(),
             demand: self.several(Self::demand),
         }
     }
 
     fn grant(&mut self) -> Grant {
-        let ids: Vec<EndpointId> = self.world.offers.values().map(|(id, _)| *id).collect();
+        let ids: Vec<EndpointId> = self.deployment.offers.values().map(|(id, _)| *id).collect();
         let endpoint = match self.one_in(10) {
             true => EndpointId(self.number()),
             false => self.pick(&ids),
@@ -259,7 +263,7 @@
         Grant { endpoint, resources: self.resources() }
     }
 
-    /// Some of them twice.
+    /// Returns grants, in one of three calls each of them twice.
     fn grants(&mut self) -> Vec<Grant> {
         let mut grants = self.several(Self::grant);
         if self.one_in(3) {
@@ -268,25 +272,25 @@
         grants
     }
 
-    fn giveback(&mut self) -> ServiceGrants {
+    fn service_grants(&mut self) -> ServiceGrants {
         ServiceGrants { service: self.pool(), grants: self.grants() }
     }
 
     fn usage(&mut self) -> Usage {
-        Usage { service: self.pool(), firm: self.firm(), running: Slots(self.narrow()) }
+        Usage { service: self.pool(), firm: self.firm(), running: Slots(self.narrow_number()) }
     }
 
     fn heartbeat(&mut self) -> Heartbeat {
         Heartbeat {
             revision: Revision(self.number()),
-            epoch: self.narrow(),
+            epoch: self.narrow_number(),
             draining: self.one_in(4),
             adopted: self.several(Self::home),
         }
     }
 
-    fn tabled(&mut self) -> HomeTable {
-        HomeTable { home: self.home(), first_epoch: self.narrow() }
+    fn home_table(&mut self) -> HomeTable {
+        HomeTable { home: self.home(), first_epoch: self.narrow_number() }
     }
 
     fn record(&mut self) -> Record {
@@ -300,9 +304,9 @@
     fn handover(&mut self) -> Handover {
         Handover {
             home: self.home(),
-            part: if self.one_in(4) { self.narrow() } else { self.rng.random_range(0..3) },
+            part: if self.one_in(4) { self.narrow_number() } else { self.rng.random_range(0..3) },
             last: self.rng.random(),
-            tables: self.several(Self::tabled),
+            tables: self.several(Self::home_table),
             records: self.several(Self::record),
         }
     }
--- a/fuzz/src/target/peers/play.rs
+++ b/fuzz/src/target/peers/simulation.rs
@@ -1,7 +1,7 @@
-//! Plays steps to one entry and checks it after each.
+//! Applies steps to one entry and checks its state after each.
 
 use super::{
-    site::World,
+    deployment::Deployment,
     step::{End, Flood, Step},
 };
 use crate::{Finding, heap};
@@ -23,22 +23,22 @@
     sync::Arc,
 };
 
-/// Ticks in which time must move on.
-const TICKS: usize = 20_000;
+/// Limit on the ticks during one wait.
+const MAX_TICKS: usize = 20_000;
 
-/// Most actions that follow from one event.
-const ACTIONS: usize = 5_000;
+/// Limit on the actions that result from one event.
+const MAX_ACTIONS: usize = 5_000;
 
-/// Time after which everything that peers said is forgotten.
-const LONG: Span = Span::from_secs(800);
+/// Time after which an entry has dropped all state that it received from peers.
+const PEER_STATE_EXPIRY: Span = Span::from_secs(800);
 
-/// Heap that an entry may keep after a second flood and that time, beside what it kept after the
-/// first.
-const KEPT: usize = 256 << 10;
+/// Limit on the heap that an entry retains after a second flood and [`PEER_STATE_EXPIRY`], beyond
+/// what it retained after the first, in bytes.
+const RETAINED_HEAP_BOUND: usize = 256 << 10;
 
-/// One entry and what it was told.
-pub(super) struct Play<'w> {
-    world: &'w World,
+/// The entry under test and the effects of the steps so far.
+pub(super) struct Simulation<'w> {
+    deployment: &'w Deployment,
     entry: Entry,
     now: Time,
     started: VecDeque<Start>,
@@ -47,17 +47,17 @@
     exited: bool,
     /// The last flood.
     flooded: Option<(Home, Flood, u16)>,
-    /// Homes made up so far.
-    fresh: u64,
+    /// Number of unknown homes used so far.
+    unknown_homes: u64,
 }
 
-impl<'w> Play<'w> {
-    pub(super) fn new(world: &'w World) -> Play<'w> {
-        let entry = Entry::new(world.options());
+impl<'w> Simulation<'w> {
+    pub(super) fn new(deployment: &'w Deployment) -> Simulation<'w> {
+        let entry = Entry::new(deployment.options());
         let (started, granted) = (VecDeque::new(), BTreeMap::new());
         let now = Time(1_000_000);
-        Play {
-            world,
+        Simulation {
+            deployment,
             entry,
             now,
             started,
@@ -65,7 +65,7 @@
             waiter: 0,
             exited: false,
             flooded: None,
-            fresh: 0,
+            unknown_homes: 0,
         }
     }
 
@@ -82,13 +82,15 @@
         while let Some(start) = self.started.pop_front() {
             self.report(&start, End::TimedOut)?;
         }
-        self.wait(LONG)?;
-        let first = heap::used();
+        self.wait(PEER_STATE_EXPIRY)?;
+        let after_first = heap::used();
         self.flood(from, kind, count)?;
-        self.wait(LONG)?;
-        let bytes = heap::used().saturating_sub(first);
-        match bytes > KEPT {
-            true => Err(Finding::Kept { what: format!("{kind:?}"), bytes, bound: KEPT }),
+        self.wait(PEER_STATE_EXPIRY)?;
+        let bytes = heap::used().saturating_sub(after_first);
+        match bytes > RETAINED_HEAP_BOUND {
+            true => {
+                Err(Finding::Kept { what: format!("{kind:?}"), bytes, bound: RETAINED_HEAP_BOUND })
+            }
             false => Ok("went on after a flood"),
         }
     }
@@ -96,15 +98,15 @@
     fn flood(&mut self, from: Home, kind: Flood, count: u16) -> Result<(), Finding> {
         self.flooded = Some((from, kind, count));
         for _ in 0..count {
-            self.fresh += 1;
-            self.say(from, flood(kind, from, self.fresh))?;
+            self.unknown_homes += 1;
+            self.deliver(from, flood_message(kind, from, self.unknown_homes))?;
         }
         Ok(())
     }
 
     fn step(&mut self, step: Step) -> Result<(), Finding> {
         match step {
-            Step::Say { from, message } => self.say(from, message),
+            Step::Say { from, message } => self.deliver(from, message),
             Step::Flood { from, kind, count } => self.flood(from, kind, count),
             Step::Up(peer) => self.handle(Event::PeerUp { peer }),
             Step::Down(peer) => self.handle(Event::PeerDown { peer }),
@@ -122,9 +124,10 @@
         }
     }
 
-    fn say(&mut self, from: Home, message: Message) -> Result<(), Finding> {
+    fn deliver(&mut self, from: Home, message: Message) -> Result<(), Finding> {
         if let Message::Lend(lend) = &message {
-            let known = |grant: &&Grant| self.world.offers.values().any(|o| o.0 == grant.endpoint);
+            let known =
+                |grant: &&Grant| self.deployment.offers.values().any(|o| o.0 == grant.endpoint);
             for grant in lend.grants.iter().filter(known) {
                 let granted = self.granted.entry(grant.endpoint).or_default();
                 *granted = granted.plus(&grant.resources);
@@ -153,23 +156,26 @@
 
     fn wait(&mut self, span: Span) -> Result<(), Finding> {
         let until = self.now + span;
-        for _ in 0..TICKS {
-            let due = self.entry.next_timer();
-            if due > until || self.exited {
+        for _ in 0..MAX_TICKS {
+            let deadline = self.entry.next_timer();
+            if deadline > until || self.exited {
                 self.now = until;
                 return Ok(());
             }
-            self.now = self.now.max(due);
+            self.now = self.now.max(deadline);
             self.tick()?;
         }
-        Err(Finding::Steps { what: "ticks follow each other without time between", bound: TICKS })
+        Err(Finding::Steps { what: "a wait takes too many ticks", bound: MAX_TICKS })
     }
 
     fn handle(&mut self, event: Event) -> Result<(), Finding> {
         let mut actions = Vec::new();
         self.entry.handle(self.now, event, &mut actions);
-        if actions.len() > ACTIONS {
-            return Err(Finding::Steps { what: "an event has too many actions", bound: ACTIONS });
+        if actions.len() > MAX_ACTIONS {
+            return Err(Finding::Steps {
+                what: "an event has too many actions",
+                bound: MAX_ACTIONS,
+            });
         }
         for action in actions {
             match action {
@@ -181,21 +187,22 @@
         Ok(())
     }
 
-    /// The entry uses no more of an endpoint than it offers and was granted.
+    /// Checks that the entry uses no more of an endpoint than it offers and peers granted of it.
     fn check(&self) -> Result<(), Finding> {
         let property = "no more of an endpoint is used than it offers and was granted";
         for view in self.entry.overview().pools.iter().flat_map(|pool| &pool.endpoints) {
-            let Some((id, offer)) = self.world.offers.get(view.name.as_str()) else {
-                let detail = format!("an endpoint of no name: {view:?}");
+            let Some((id, offer)) = self.deployment.offers.get(view.name.as_str()) else {
+                let detail = format!("unknown endpoint name: {view:?}");
                 return Err(Finding::Broken { property, detail });
             };
             let granted = self.granted.get(id).copied().unwrap_or_default();
-            let most = offer.plus(&granted);
+            let limit = offer.plus(&granted);
             let used = view.in_use.plus(&view.free);
             let started = self.started.iter().filter(|start| start.endpoint == *id).count();
             let executor = offer.slots > Slots(0);
-            let over = executor && (used.slots > most.slots || started > most.slots.0 as usize);
-            if over || used.cores > most.cores || used.memory > most.memory {
+            let over_slots =
+                executor && (used.slots > limit.slots || started > limit.slots.0 as usize);
+            if over_slots || used.cores > limit.cores || used.memory > limit.memory {
                 let detail =
                     format!("{view:?}, {started} started, offers {offer:?} and {granted:?}");
                 return Err(Finding::Broken { property, detail });
@@ -205,8 +212,8 @@
     }
 }
 
-/// A home that was never seen before.
-fn fresh(number: u64) -> Home {
+/// Returns a home that the entry does not know.
+fn unknown_home(number: u64) -> Home {
     Home {
         data_centre: DataCentreId::of("near"),
         entry: EntryId(1_000_000 + number),
@@ -214,8 +221,8 @@
     }
 }
 
-fn flood(kind: Flood, from: Home, number: u64) -> Message {
-    let home = fresh(number);
+fn flood_message(kind: Flood, from: Home, number: u64) -> Message {
+    let home = unknown_home(number);
     let id = site::id::SubmissionId {
         token: site::id::Token { home, epoch: number as u32 },
         unique: uuid::Uuid::from_u64_pair(number, !number),
--- a/fuzz/src/target/peers/step.rs
+++ b/fuzz/src/target/peers/step.rs
@@ -1,30 +1,30 @@
-//! What happens to an entry.
+//! The steps of a case: events of the entry under test.
 
 use dispatch::Message;
 use serde::{Deserialize, Serialize};
 use site::{id::Home, submission::Submission, unit::Span};
 use std::sync::Arc;
 
-/// One event, or several of a kind.
+/// One event, or several events of the same kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Step {
-    /// A peer says something.
+    /// A peer sends a message.
     Say { from: Home, message: Message },
-    /// A peer says something of a kind again and again, each time about other homes.
+    /// A peer sends `count` messages of the same kind, each with other homes or ids.
     Flood { from: Home, kind: Flood, count: u16 },
-    /// A connection comes up.
+    /// A connection to a peer is established.
     Up(Home),
     /// A connection is lost.
     Down(Home),
     /// Time passes.
     Wait(Span),
-    /// A caller submits.
+    /// A caller sends a submission.
     Submit(Arc<Submission>),
-    /// The oldest attempt ends.
+    /// The oldest running attempt ends.
     Finish(End),
-    /// The platform lists these processes.
+    /// The platform's registry lists these entries.
     Registry(Vec<Home>),
-    /// The entry is told to stop.
+    /// The entry is drained.
     Drain,
 }
 
@@ -38,7 +38,7 @@
     TimedOut,
 }
 
-/// What is repeated.
+/// The kind of message that is repeated.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) enum Flood {
     /// [`Message::Moved`].
@@ -49,7 +49,7 @@
     Tables,
     /// [`Message::Handover`], each with a record.
     Records,
-    /// [`Message::Submit`] of repeatable requests of homes that are gone.
+    /// [`Message::Submit`] of repeatable requests whose homes no longer exist.
     Submit,
     /// [`Message::CapacityRequest`] for unknown firms.
     Wants,
--- a/fuzz/src/target/platform.rs
+++ b/fuzz/src/target/platform.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform's gateway.
+//! Target for HTTP responses of the platform's gateway.
 
 use super::Target;
 use crate::{
@@ -16,45 +16,45 @@
 use serde_json::{Value, json};
 use site::unit::{Memory, Span};
 
-/// Most heap for one answer.
-const BOUND: usize = 1 << 20;
+/// Largest growth of the heap for one response, in bytes.
+const HEAP_BOUND: usize = 1 << 20;
 
-/// Largest answer that is read.
-const ANSWER: Memory = Memory(64 << 10);
+/// Limit on a response of the gateway.
+const RESPONSE_LIMIT: Memory = Memory(64 << 10);
 
-/// Cases that share a client and a server.
-const ROTATE: u32 = 4_000;
+/// Number of cases that share a client and a server.
+const CASES_PER_SERVER: u32 = 4_000;
 
-/// Most messages taken from one watch.
-const MESSAGES: usize = 100;
+/// Limit on the messages read from one watch.
+const MAX_WATCH_MESSAGES: usize = 100;
 
 const CALLS: u8 = 8;
 const WATCH: u8 = 7;
 
-/// Answers to calls. The first byte of a case chooses the call, the second whether the body of the
-/// request is asked for; the rest is the answer.
+/// Responses to calls. The first byte of a case selects the call, the second whether the server
+/// sends `100 Continue` where the client waits for it; the rest is the response.
 #[derive(Debug, Default)]
 pub struct Platform {
-    bench: Option<Bench>,
+    harness: Option<Harness>,
 }
 
 #[derive(Debug)]
-struct Bench {
+struct Harness {
     responder: Responder,
     client: Client,
-    left: u32,
+    cases_left: u32,
 }
 
-impl Bench {
-    fn start() -> Bench {
+impl Harness {
+    fn start() -> Harness {
         let responder = Responder::start().expect("loopback has a free port");
         let options = Options {
             call_limit: Span::from_millis(500),
-            answer_limit: ANSWER,
+            answer_limit: RESPONSE_LIMIT,
             watch_silence: Span::from_millis(200),
             ..Options::new(vec![responder.address()])
         };
-        Bench { responder, client: Client::new(options), left: ROTATE }
+        Harness { responder, client: Client::new(options), cases_left: CASES_PER_SERVER }
     }
 }
 
@@ -63,35 +63,40 @@
         "platform"
     }
 
-    fn bound(&self) -> usize {
-        BOUND
+    fn heap_bound(&self) -> usize {
+        HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
         let call = rng.random_range(0..CALLS);
-        let asks = u8::from(rng.random_ratio(4, 5));
-        let mut answer = message(call, rng).write(rng);
+        let sends_continue = u8::from(rng.random_ratio(4, 5));
+        let mut response = message(call, rng).write(rng);
         if rng.random_ratio(1, 20) {
-            answer = bytes::arbitrary(rng, 300);
+            response = bytes::arbitrary(rng, 300);
         }
         if rng.random_ratio(1, 3) {
-            bytes::mutate(&mut answer, rng);
+            bytes::mutate(&mut response, rng);
         }
-        [&[call, asks], &answer[..]].concat()
+        [&[call, sends_continue], &response[..]].concat()
     }
 
     fn run(&mut self, case: &[u8]) -> Outcome {
-        let [call, asks, answer @ ..] = case else { return Ok("no case".into()) };
-        if self.bench.as_ref().is_none_or(|bench| bench.left == 0) {
-            self.bench = Some(Bench::start());
+        let [call, sends_continue, response @ ..] = case else { return Ok("no case".into()) };
+        if self.harness.as_ref().is_none_or(|harness| harness.cases_left == 0) {
+            self.harness = Some(Harness::start());
         }
-        let bench = self.bench.get_or_insert_with(Bench::start);
-        bench.left = bench.left.saturating_sub(1);
-        bench.responder.play(Script { answer: answer.to_vec(), asks: *asks == 1, stays: false });
-        match smol::block_on(ask(&bench.client, call % CALLS)) {
-            Ok(messages) if messages > MESSAGES => {
-                Err(Finding::Steps { what: "a watch goes on without end", bound: MESSAGES })
-            }
+        let harness = self.harness.get_or_insert_with(Harness::start);
+        harness.cases_left = harness.cases_left.saturating_sub(1);
+        harness.responder.set_script(Script {
+            response: response.to_vec(),
+            sends_continue: *sends_continue == 1,
+            keep_alive: false,
+        });
+        match smol::block_on(send(&harness.client, call % CALLS)) {
+            Ok(messages) if messages > MAX_WATCH_MESSAGES => Err(Finding::Steps {
+                what: "a watch has too many messages",
+                bound: MAX_WATCH_MESSAGES,
+            }),
             Ok(_) => Ok("understood".into()),
             Err(Error::Unreachable) => Ok("unreachable".into()),
             Err(Error::Unknown) => Ok("unknown".into()),
@@ -101,7 +106,9 @@
     }
 }
 
-async fn ask(client: &Client, call: u8) -> Result<usize, Error> {
+/// Sends the call that `call` selects. Returns the number of messages of a watch, zero for other
+/// calls.
+async fn send(client: &Client, call: u8) -> Result<usize, Error> {
     let key = || Key::from("/primrosestep/a");
     let put = || Put { key: key(), value: "v".into(), lease: None };
     match call {
@@ -115,7 +122,7 @@
         _ => {
             let watch = client.watch(Range::Prefix(key()), Revision(7)).await?;
             let mut messages = 0;
-            while messages <= MESSAGES && watch.next().await.is_ok() {
+            while messages <= MAX_WATCH_MESSAGES && watch.next().await.is_ok() {
                 messages += 1;
             }
             Ok(messages)
@@ -144,23 +151,23 @@
         true => STATUSES.choose(rng).copied().unwrap_or_default(),
         false => "200 OK",
     };
-    let refusal = json!({ "error": "text", "code": bytes::number(rng) % 20, "message": "text" });
+    let error_body = json!({ "error": "text", "code": bytes::number(rng) % 20, "message": "text" });
     let body = match status {
-        "200 OK" if call == WATCH => lines(rng),
-        "200 OK" => json::hostile(body(call, rng), rng),
-        _ => json::hostile(refusal, rng),
+        "200 OK" if call == WATCH => watch_messages(rng),
+        "200 OK" => json::mutated_text(body(call, rng), rng),
+        _ => json::mutated_text(error_body, rng),
     };
     let mut message = Message {
         start: format!("HTTP/1.1 {status}"),
         headers: vec![("Content-Type".into(), "application/json".into())],
         body,
-        framing: Framing::any(rng),
+        framing: Framing::random(rng),
     };
-    message.spoil(rng);
+    message.corrupt(rng);
     message
 }
 
-fn record(rng: &mut Random) -> Value {
+fn key_value(rng: &mut Random) -> Value {
     json!({
         "key": "L3ByaW1yb3Nlc3RlcC9h",
         "value": "dg==",
@@ -173,8 +180,8 @@
 
 fn listing(rng: &mut Random) -> Value {
     let count = rng.random_range(0..4);
-    let records: Vec<Value> = (0..count).map(|_| record(rng)).collect();
-    json!({ "header": header(rng), "kvs": records, "count": count.to_string() })
+    let values: Vec<Value> = (0..count).map(|_| key_value(rng)).collect();
+    json!({ "header": header(rng), "kvs": values, "count": count.to_string() })
 }
 
 fn header(rng: &mut Random) -> Value {
@@ -198,18 +205,18 @@
     }
 }
 
-/// Messages of a watch; the first confirms it.
-fn lines(rng: &mut Random) -> Vec<u8> {
+/// Returns the messages of a watch, one a line. The first confirms the watch.
+fn watch_messages(rng: &mut Random) -> Vec<u8> {
     let mut text = b"{\"result\":{\"created\":true}}\n".to_vec();
     for _ in 0..rng.random_range(0..4) {
         let kind = ["PUT", "DELETE", "ODD"].choose(rng).copied().unwrap_or_default();
-        let event = json!({ "type": kind, "kv": record(rng) });
+        let event = json!({ "type": kind, "kv": key_value(rng) });
         let message = match rng.random_range(0..5) {
             0 => json!({ "error": { "grpc_code": bytes::number(rng) % 20, "message": "text" } }),
             1 => json!({ "result": { "canceled": true, "compact_revision": "9" } }),
             _ => json!({ "result": { "header": header(rng), "events": [event] } }),
         };
-        text.extend(json::hostile(message, rng));
+        text.extend(json::mutated_text(message, rng));
         text.push(b'\n');
     }
     text
--- a/fuzz/src/target/requests.rs
+++ b/fuzz/src/target/requests.rs
@@ -1,11 +1,11 @@
-//! Callers' requests.
+//! Target for HTTP requests of callers.
 
 mod fake;
 mod generate;
 
 use super::Target;
-use crate::{Finding, Outcome, Random, bytes, http::Answer};
-use fake::Fake;
+use crate::{Finding, Outcome, Random, bytes, http::Response};
+use fake::FakeBackend;
 use rand::Rng;
 use serde_json::Value;
 use server::{Options, Server};
@@ -17,22 +17,24 @@
     time::Duration,
 };
 
-/// Most heap for one connection.
-const BOUND: usize = 2 << 20;
+/// Largest growth of the heap for one connection, in bytes.
+const HEAP_BOUND: usize = 2 << 20;
 
-/// Cases that share a server.
-const ROTATE: u32 = 4_000;
+/// Number of cases that share a server.
+const CASES_PER_SERVER: u32 = 4_000;
 
-/// How long a caller waits before it ends its side, so that whole requests are not given up.
-const PATIENCE: Duration = Duration::from_millis(2);
+/// Time that a caller waits for the first bytes of a response before it shuts down its side of the
+/// connection, so that the server does not abandon complete requests.
+const HALF_CLOSE_DELAY: Duration = Duration::from_millis(2);
 
-/// How long it waits for the end of the connection.
-const WAIT: Duration = Duration::from_secs(10);
+/// Longest wait for the server to close the connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Requests on one connection.
+/// Requests of callers. A case holds the bytes of one connection.
 #[derive(Debug, Default)]
 pub struct Requests {
-    bench: Option<(Server, u32)>,
+    /// The server and the number of cases that it may still run.
+    server: Option<(Server, u32)>,
 }
 
 fn start() -> Server {
@@ -44,16 +46,16 @@
         ..Options::default()
     };
     let address = ([127, 0, 0, 1], 0).into();
-    let server = Server::start(address, Arc::new(Fake::new()), options);
+    let server = Server::start(address, Arc::new(FakeBackend::new()), options);
     smol::block_on(server).expect("loopback has a free port")
 }
 
 impl Requests {
     fn address(&mut self) -> SocketAddr {
-        if let Some((server, _)) = self.bench.take_if(|(_, left)| *left == 0) {
+        if let Some((server, _)) = self.server.take_if(|(_, left)| *left == 0) {
             smol::block_on(server.stop());
         }
-        let (server, left) = self.bench.get_or_insert_with(|| (start(), ROTATE));
+        let (server, left) = self.server.get_or_insert_with(|| (start(), CASES_PER_SERVER));
         *left -= 1;
         server.address()
     }
@@ -64,8 +66,8 @@
         "requests"
     }
 
-    fn bound(&self) -> usize {
-        BOUND
+    fn heap_bound(&self) -> usize {
+        HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
@@ -84,82 +86,82 @@
 
     fn run(&mut self, case: &[u8]) -> Outcome {
         let address = self.address();
-        let broken = |property, detail| Err(Finding::Broken { property, detail });
-        let answer = match exchange(address, case) {
-            Ok(answer) => answer,
+        let violation = |property, detail| Err(Finding::Broken { property, detail });
+        let received = match exchange(address, case) {
+            Ok(received) => received,
             Err(error) if error.kind() == io::ErrorKind::ConnectionReset => {
                 return Ok("reset".into());
             }
-            Err(error) => return broken("a connection ends", error.to_string()),
+            Err(error) => return violation("a connection ends", error.to_string()),
         };
-        let mut rest = &answer[..];
+        let mut rest = &received[..];
         let mut first = None;
         while !rest.is_empty() {
-            let Some(answer) = Answer::take(&mut rest) else {
+            let Some(response) = Response::parse(&mut rest) else {
                 let text = String::from_utf8_lossy(rest).into_owned();
-                return broken("every answer is whole", text);
+                return violation("every response is complete", text);
             };
-            check(&answer)?;
-            first.get_or_insert_with(|| outcome(&answer));
+            check(&response)?;
+            first.get_or_insert_with(|| outcome(&response));
         }
         match first {
             Some(first) => Ok(first.into()),
             None if case.iter().all(|byte| b"\r\n".contains(byte)) => Ok("no request".into()),
-            None => broken("a request has an answer", "none came".into()),
+            None => violation("a request has a response", "none received".into()),
         }
     }
 }
 
-/// Sends `case` and reads all that comes back.
+/// Sends `case` and returns all bytes that the server sends.
 fn exchange(address: SocketAddr, case: &[u8]) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    // The server may close before it has read all; its answer counts.
+    // The server may close before it has read all; its response is checked all the same.
     let _ = stream.write_all(case);
-    let mut answer = vec![0; 64 << 10];
-    stream.set_read_timeout(Some(PATIENCE))?;
-    let read = stream.read(&mut answer).unwrap_or(0);
-    answer.truncate(read);
+    let mut received = vec![0; 64 << 10];
+    stream.set_read_timeout(Some(HALF_CLOSE_DELAY))?;
+    let read = stream.read(&mut received).unwrap_or(0);
+    received.truncate(read);
     let _ = stream.shutdown(Shutdown::Write);
-    stream.set_read_timeout(Some(WAIT))?;
-    match stream.read_to_end(&mut answer) {
-        Err(error) if answer.is_empty() => Err(error),
+    stream.set_read_timeout(Some(CLOSE_TIMEOUT))?;
+    match stream.read_to_end(&mut received) {
+        Err(error) if received.is_empty() => Err(error),
         Err(error) if error.kind() != io::ErrorKind::ConnectionReset => Err(error),
-        _ => Ok(answer),
+        _ => Ok(received),
     }
 }
 
-/// What docs/HTTP.md says of answers.
-fn check(answer: &Answer) -> Result<(), Finding> {
-    let from_endpoint = answer.header("primrosestep-outcome") == Some("complete");
-    if answer.status < 400 || from_endpoint || answer.body.is_empty() {
+/// Checks a response against docs/HTTP.md: a failure has a problem as its body.
+fn check(response: &Response) -> Result<(), Finding> {
+    let from_endpoint = response.header("primrosestep-outcome") == Some("complete");
+    if response.status < 400 || from_endpoint || response.body.is_empty() {
         return Ok(());
     }
-    let broken = |detail: &str| {
-        let body = String::from_utf8_lossy(&answer.body);
-        let detail = format!("{detail}: {} {body}", answer.status);
+    let violation = |detail: &str| {
+        let body = String::from_utf8_lossy(&response.body);
+        let detail = format!("{detail}: {} {body}", response.status);
         Err(Finding::Broken { property: "every failure is a problem", detail })
     };
-    if answer.header("content-type") != Some("application/problem+json") {
-        return broken("another type");
+    if response.header("content-type") != Some("application/problem+json") {
+        return violation("unexpected content type");
     }
-    let Ok(problem) = serde_json::from_slice::<Value>(&answer.body) else {
-        return broken("no JSON");
+    let Ok(problem) = serde_json::from_slice::<Value>(&response.body) else {
+        return violation("not JSON");
     };
     let text = |name: &str| problem[name].as_str();
     let outcome = text("outcome");
     let known = matches!(outcome, Some("not-run" | "may-have-run" | "ran-and-failed"));
     let reason = text("reason").map(|reason| format!("urn:primrosestep:problem:{reason}"));
-    if !known || reason.as_deref() != text("type") || problem["status"] != answer.status {
-        return broken("not as documented");
+    if !known || reason.as_deref() != text("type") || problem["status"] != response.status {
+        return violation("not as documented");
     }
     Ok(())
 }
 
-/// The status, with the reason where it is a problem.
-fn outcome(answer: &Answer) -> String {
-    let outcome = answer.header("primrosestep-outcome").unwrap_or("shown");
-    let problem = serde_json::from_slice::<Value>(&answer.body).unwrap_or_default();
+/// Returns the status with the reason of the problem, or with the outcome if there is none.
+fn outcome(response: &Response) -> String {
+    let outcome = response.header("primrosestep-outcome").unwrap_or("shown");
+    let problem = serde_json::from_slice::<Value>(&response.body).unwrap_or_default();
     let reason = problem["reason"].as_str().unwrap_or(outcome);
-    format!("{} {reason}", answer.status)
+    format!("{} {reason}", response.status)
 }
--- a/fuzz/src/target/requests/fake.rs
+++ b/fuzz/src/target/requests/fake.rs
@@ -1,4 +1,4 @@
-//! A process behind the interface that answers at once.
+//! A backend for the HTTP server that answers at once.
 
 use async_trait::async_trait;
 use compact_str::CompactString;
@@ -17,15 +17,15 @@
 };
 use std::sync::Arc;
 
-/// The firm's key.
+/// The API key of the firm.
 pub(super) const KEY: &str = "the-key-of-kovacik";
-/// The operator's key.
+/// The API key of the operator.
 pub(super) const OPERATOR: &str = "the-key-of-the-operator";
 /// A service that the firm may use.
 pub(super) const SERVICE: &str = "check";
 
-/// Answers at once.
-pub(super) struct Fake {
+/// A backend with one firm, one service and one operator.
+pub(super) struct FakeBackend {
     site: Arc<Site>,
 }
 
@@ -33,8 +33,8 @@
     Sha256::digest(key).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-impl Fake {
-    pub(super) fn new() -> Fake {
+impl FakeBackend {
+    pub(super) fn new() -> FakeBackend {
         let firm: Firm = read(json!({
             "name": "kovacik", "key-digests": [digest(KEY)], "crews": [{ "name": "fitters" }],
         }));
@@ -49,12 +49,12 @@
             operators: [(OperatorId::of("ops"), operator)].into(),
             ..Site::default()
         };
-        Fake { site: Arc::new(site) }
+        FakeBackend { site: Arc::new(site) }
     }
 }
 
 fn read<T: serde::de::DeserializeOwned>(value: serde_json::Value) -> T {
-    serde_json::from_value(value).expect("the fake's settings are whole")
+    serde_json::from_value(value).expect("the settings of the fake backend are valid")
 }
 
 fn failed(reason: Reason) -> Arc<Answer> {
@@ -63,7 +63,7 @@
     Arc::new(Answer::Failed(failure))
 }
 
-/// The bodies of the tasks, under the types that they came with.
+/// Returns the body and content type of each task as its output.
 fn echo(submission: &Submission) -> Arc<Answer> {
     let output = |task: &site::submission::Task| Output {
         status: 200,
@@ -74,7 +74,7 @@
 }
 
 #[async_trait]
-impl Backend for Fake {
+impl Backend for FakeBackend {
     fn token(&self) -> Token {
         Token::default()
     }
--- a/fuzz/src/target/requests/generate.rs
+++ b/fuzz/src/target/requests/generate.rs
@@ -1,4 +1,4 @@
-//! Requests, most of them nearly right.
+//! Generates HTTP requests, most of them valid except for a few details.
 
 use super::fake::{KEY, OPERATOR, SERVICE};
 use crate::{
@@ -32,32 +32,32 @@
     "٣s",
     "",
 ];
-/// Tasks of a job, one more than a job may have.
-const TOO_MANY: usize = 781;
+/// Number of tasks that exceeds the limit of a job by one.
+const TOO_MANY_TASKS: usize = 781;
 
-/// One of a list, mostly the first.
+/// Returns an item of a list, the first one in most calls.
 fn pick(list: &'static [&'static str], rng: &mut Random) -> &'static str {
     let first = rng.random_ratio(2, 3);
     let one = if first { list.first() } else { list.choose(rng) };
     one.copied().unwrap_or_default()
 }
 
-/// A request as it is sent.
+/// Returns the bytes of a request.
 pub(super) fn request(rng: &mut Random) -> Vec<u8> {
-    let (method, path, body) = line(rng);
+    let (method, path, body) = request_line(rng);
     let version = if rng.random_ratio(1, 20) { "HTTP/1.0" } else { "HTTP/1.1" };
     let framing = match body.is_empty() && rng.random_ratio(4, 5) {
         true => Framing::None,
-        false => Framing::any(rng),
+        false => Framing::random(rng),
     };
     let headers = headers(&path, rng);
     let start = format!("{method} {path} {version}");
     let mut message = Message { start, headers, body, framing };
-    message.spoil(rng);
+    message.corrupt(rng);
     message.write(rng)
 }
 
-fn line(rng: &mut Random) -> (&'static str, String, Vec<u8>) {
+fn request_line(rng: &mut Random) -> (&'static str, String, Vec<u8>) {
     const VIEWS: [&str; 7] = ["config", "executors", "firms", "jobs", "peers", "", "x/y"];
     const PLAIN: [&str; 8] =
         ["/v1/home", "/metrics", "/livez", "/readyz", "/", "//", "/v1/requests/", "*"];
@@ -115,20 +115,20 @@
 }
 
 fn single(rng: &mut Random) -> Vec<u8> {
-    let most = if rng.random_ratio(1, 20) { 6 << 10 } else { 100 };
-    bytes::arbitrary(rng, most)
+    let max_len = if rng.random_ratio(1, 20) { 6 << 10 } else { 100 };
+    bytes::arbitrary(rng, max_len)
 }
 
 fn job(rng: &mut Random) -> Vec<u8> {
     let count = match rng.random_range(0..40) {
-        0 => TOO_MANY,
+        0 => TOO_MANY_TASKS,
         1 => 0,
-        2 => TOO_MANY - 1,
+        2 => TOO_MANY_TASKS - 1,
         _ => rng.random_range(1..5),
     };
-    // One bad task would hide that there are too many.
-    let plain = count > 10;
-    let make = |_| if plain { json!({ "body": 1 }) } else { task(rng) };
+    // An invalid task would be reported before the excess of tasks.
+    let all_valid = count > 10;
+    let make = |_| if all_valid { json!({ "body": 1 }) } else { task(rng) };
     let tasks: Vec<Value> = (0..count).map(make).collect();
     let mut job = json!({ "service": SERVICE, "tasks": tasks });
     if rng.random_ratio(1, 4) {
@@ -141,7 +141,11 @@
         job["crew"] = json!("fitters");
         job["repeatable"] = json!(rng.random::<bool>());
     }
-    if plain { serde_json::to_vec(&job).unwrap_or_default() } else { json::hostile(job, rng) }
+    if all_valid {
+        serde_json::to_vec(&job).unwrap_or_default()
+    } else {
+        json::mutated_text(job, rng)
+    }
 }
 
 fn task(rng: &mut Random) -> Value {
@@ -155,6 +159,6 @@
             "needs": { "cores": "500m", "memory": "256MiB", "slots": 1 },
             "run_time": "300ms",
         }),
-        _ => json!({ "body": json::other(rng) }),
+        _ => json!({ "body": json::any_value(rng) }),
     }
 }
--- a/fuzz/src/target/settings.rs
+++ b/fuzz/src/target/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: folders of a site, and the file of a daemon.
+//! Targets for settings: the directory of a site and the file of a daemon.
 
 use super::Target;
 use crate::{Finding, Outcome, Random, bytes, json};
@@ -7,47 +7,47 @@
 use settings::{Files, daemon::Daemon, diff, parse, read, render};
 use std::path::Path;
 
-/// Most heap for one folder.
-const FOLDER_BOUND: usize = 2 << 20;
+/// Largest growth of the heap for one directory, in bytes.
+const DIRECTORY_HEAP_BOUND: usize = 2 << 20;
 
-/// Most heap for one file of a daemon.
-const DAEMON_BOUND: usize = 256 << 10;
+/// Largest growth of the heap for one file of a daemon, in bytes.
+const DAEMON_HEAP_BOUND: usize = 256 << 10;
 
 const SITES: [&str; 2] = ["clydeside", "kovacik"];
 
 const DAEMON: &str = include_str!("../../../fixtures/daemon.json");
 
-/// Folders. A case holds the names and texts of the files.
+/// Directories of site settings. A case holds the names and texts of the files.
 #[derive(Debug)]
-pub struct Folders {
-    good: Vec<Files>,
+pub struct Directories {
+    valid: Vec<Files>,
 }
 
-impl Default for Folders {
-    fn default() -> Folders {
+impl Default for Directories {
+    fn default() -> Directories {
         let fixtures = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fixtures");
-        let site = |name| read(&fixtures.join(name)).expect("the sample sites are whole");
-        Folders { good: SITES.into_iter().map(site).collect() }
+        let site = |name| read(&fixtures.join(name)).expect("the sample sites are valid");
+        Directories { valid: SITES.into_iter().map(site).collect() }
     }
 }
 
 type Case = Vec<(String, Vec<u8>)>;
 
-impl Target for Folders {
+impl Target for Directories {
     fn name(&self) -> &'static str {
         "settings"
     }
 
-    fn bound(&self) -> usize {
-        FOLDER_BOUND
+    fn heap_bound(&self) -> usize {
+        DIRECTORY_HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
-        let good = &self.good[rng.random_range(0..self.good.len())];
+        let valid = &self.valid[rng.random_range(0..self.valid.len())];
         let mut case: Case =
-            good.iter().map(|(name, text)| (name.to_string(), text.to_vec())).collect();
+            valid.iter().map(|(name, text)| (name.to_string(), text.to_vec())).collect();
         for _ in 0..rng.random_range(1..=2) {
-            change(&mut case, rng);
+            mutate(&mut case, rng);
         }
         postcard::to_stdvec(&case).expect("texts can always be written")
     }
@@ -56,8 +56,8 @@
         let Ok(case) = postcard::from_bytes::<Case>(case) else { return Ok("no case".into()) };
         let files: Files =
             case.into_iter().map(|(name, text)| (name.into(), text.into())).collect();
-        for good in &self.good {
-            let _ = diff(good, &files);
+        for valid in &self.valid {
+            let _ = diff(valid, &files);
         }
         match parse(&files) {
             Ok(checked) => {
@@ -72,7 +72,7 @@
                 }
             }
             Err(report) if report.findings.is_empty() => Err(Finding::Broken {
-                property: "a refusal names what is wrong",
+                property: "a rejection has at least one finding",
                 detail: report.to_string(),
             }),
             Err(report) => {
@@ -83,7 +83,7 @@
     }
 }
 
-fn change(case: &mut Case, rng: &mut Random) {
+fn mutate(case: &mut Case, rng: &mut Random) {
     let place = rng.random_range(0..case.len());
     match rng.random_range(0..10) {
         0 if case.len() > 1 => drop(case.remove(place)),
@@ -95,14 +95,14 @@
         3..=5 => bytes::mutate(&mut case[place].1, rng),
         _ => {
             if let Ok(mut value) = serde_json::from_slice::<Value>(&case[place].1) {
-                json::change(&mut value, rng);
+                json::mutate(&mut value, rng);
                 case[place].1 = serde_json::to_vec(&value).unwrap_or_default();
             }
         }
     }
 }
 
-/// Files of daemons. A case is the text.
+/// Settings files of daemons. A case is the text.
 #[derive(Debug)]
 pub struct Daemons;
 
@@ -111,8 +111,8 @@
         "daemon"
     }
 
-    fn bound(&self) -> usize {
-        DAEMON_BOUND
+    fn heap_bound(&self) -> usize {
+        DAEMON_HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
@@ -124,7 +124,7 @@
             bytes::mutate(&mut text, rng);
             return text;
         }
-        json::hostile(serde_json::from_str(DAEMON).unwrap_or_default(), rng)
+        json::mutated_text(serde_json::from_str(DAEMON).unwrap_or_default(), rng)
     }
 
     fn run(&mut self, case: &[u8]) -> Outcome {
@@ -140,7 +140,7 @@
                 }
             }
             Err(report) if report.findings.is_empty() => Err(Finding::Broken {
-                property: "a refusal names what is wrong",
+                property: "a rejection has at least one finding",
                 detail: report.to_string(),
             }),
             Err(report) => {
--- a/fuzz/src/target/shelf.rs
+++ b/fuzz/src/target/stub_store.rs
@@ -1,4 +1,4 @@
-//! A store that holds one document under every key.
+//! A key-value store for tests that returns the same document for every key.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -11,19 +11,19 @@
 };
 use smol::channel::unbounded;
 
-/// A store that holds one document under every key.
+/// A store that returns the same document for every key and discards all writes.
 #[derive(Debug)]
-pub(super) struct Shelf {
+pub(super) struct StubStore {
     pub(super) document: Bytes,
-    /// Of the store and of every write.
+    /// Revision of the store, of the document and of every write.
     pub(super) revision: Revision,
     /// Whether transactions succeed.
-    pub(super) yields: bool,
-    /// Where the keys of a listing end.
+    pub(super) succeeds: bool,
+    /// Suffix of the key in a listing, after the prefix that is listed.
     pub(super) suffix: String,
 }
 
-impl Shelf {
+impl StubStore {
     fn value(&self, range: &Range) -> KeyValue {
         let key = match range {
             Range::Key(key) => key.clone(),
@@ -44,7 +44,7 @@
 }
 
 #[async_trait]
-impl Store for Shelf {
+impl Store for StubStore {
     async fn range(&self, range: Range, _: Consistency) -> Result<Listing, Error> {
         Ok(self.listing(&range))
     }
@@ -54,13 +54,13 @@
     }
 
     async fn txn(&self, txn: Txn) -> Result<Outcome, Error> {
-        let ops = if self.yields { &txn.success } else { &txn.failure };
+        let ops = if self.succeeds { &txn.success } else { &txn.failure };
         let read = |op: &Op| match op {
             Op::Get(range) => Some(self.listing(range)),
             Op::Put(_) | Op::Delete(_) => None,
         };
         let listings = ops.iter().filter_map(read).collect();
-        Ok(Outcome { succeeded: self.yields, revision: self.revision, listings })
+        Ok(Outcome { succeeded: self.succeeds, revision: self.revision, listings })
     }
 
     async fn put(&self, _: Put) -> Result<Revision, Error> {
@@ -88,7 +88,7 @@
         let value = self.value(&range);
         let key: Key = value.key.clone();
         let changes = vec![Change::Put(value), Change::Delete(key)];
-        // The receiver is held here.
+        // Sending can't fail: the receiver is still held here.
         let _ = sender.try_send(Ok(Changes { revision: self.revision, changes }));
         Ok(Watch::new(receiver, smol::spawn(async {})))
     }
--- a/fuzz/src/watchdog.rs
+++ b/fuzz/src/watchdog.rs
@@ -1,4 +1,4 @@
-//! Ends the process when a case does not end.
+//! Ends the process when a case does not finish in time.
 
 use crate::cases;
 use parking_lot::Mutex;
@@ -7,13 +7,13 @@
     time::{Duration, Instant},
 };
 
-/// Longest time that one case may take. Far longer than any time limit inside a case.
-pub const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit of one case. It is far longer than any time limit inside a case.
+pub const CASE_TIME_LIMIT: Duration = Duration::from_secs(60);
 
-const INTERVAL: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Exit code after a case that did not end.
-const HANG: i32 = 3;
+/// Exit code after a case that exceeded [`CASE_TIME_LIMIT`].
+const HANG_EXIT_CODE: i32 = 3;
 
 static RUNNING: Mutex<Vec<Running>> = Mutex::new(Vec::new());
 
@@ -23,13 +23,13 @@
     since: Instant,
 }
 
-/// Starts the thread that watches. Once a process.
+/// Starts the watchdog thread, once per process.
 pub fn start() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| drop(thread::spawn(watch)));
 }
 
-/// Runs `f`, which has to end within [`LIMIT`].
+/// Runs `f`, which has to finish within [`CASE_TIME_LIMIT`].
 pub fn guard<T>(target: &'static str, case: &[u8], f: impl FnOnce() -> T) -> T {
     let running = Running { target, case: case.to_vec(), since: Instant::now() };
     RUNNING.lock().push(running);
@@ -40,13 +40,14 @@
 
 fn watch() {
     loop {
-        thread::sleep(INTERVAL);
+        thread::sleep(CHECK_INTERVAL);
         let running = RUNNING.lock();
-        let Some(late) = running.iter().find(|running| running.since.elapsed() > LIMIT) else {
+        let Some(hung) = running.iter().find(|running| running.since.elapsed() > CASE_TIME_LIMIT)
+        else {
             continue;
         };
-        let kept = cases::keep(late.target, "hang", &late.case);
-        eprintln!("{}: a case does not end; kept as {kept:?}", late.target);
-        process::exit(HANG);
+        let path = cases::save(hung.target, "hang", &hung.case);
+        eprintln!("{}: a case does not finish; kept as {path:?}", hung.target);
+        process::exit(HANG_EXIT_CODE);
     }
 }
