--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,7 +1,8 @@
-//! Callers: each hands in one job after the other, and again elsewhere after a break.
+//! Simulated callers: each submits one job after the other, and retries at another entry after a
+//! lost connection.
 
 use crate::{
-    document::{self, HOST, JOBS, PATIENCE_MS},
+    document::{self, CALLER_TIMEOUT_MS, HOST, JOBS_PATH},
     history::{self, History, Outcome},
 };
 use endpoint::http::{Options, RawClient as Transport, RawRequest, RawResponse, RequestError};
@@ -18,64 +19,65 @@
 };
 use trillium_client::Method;
 
-/// Callers hand a job in again this long after a break.
-pub const RESEND: Duration = Duration::from_millis(1_300);
+/// Delay until callers submit a job again after a lost connection.
+pub const RESEND_DELAY: Duration = Duration::from_millis(1_300);
 
-/// Pause before the next entry is tried when nothing was sent.
+/// Pause before the next entry is tried when a request could not be sent.
 const UNSENT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Added to the time that a caller waits, for the answer's way back.
-const ANSWER_WAY: Duration = Duration::from_millis(500);
+/// Added to the caller's timeout, for the network delay of the answer.
+const ANSWER_DELAY_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// Tasks and milliseconds a task of each kind of job, and how often it comes.
-const KINDS: [(u16, u64, u32); 3] = [(8, 60, 3), (4, 450, 1), (2, 200, 6)];
+/// Number of tasks, milliseconds per task and relative frequency of each kind of job.
+const JOB_KINDS: [(u16, u64, u32); 3] = [(8, 60, 3), (4, 450, 1), (2, 200, 6)];
 
-/// Most milliseconds between two jobs of a caller.
-const PAUSE_MS: u64 = 1_200;
+/// Longest pause between two jobs of a caller, in milliseconds.
+const MAX_PAUSE_MS: u64 = 1_200;
 
-/// One caller in this many leaves before its answer.
-const LEAVES: u32 = 12;
+/// One attempt in this many may be abandoned before its answer.
+const LEAVE_ONE_IN: u32 = 12;
 
-/// What all callers of a play share.
+/// State that all callers of a play share.
 #[derive(Debug)]
 pub struct Shared {
-    /// Where each entry is reached.
+    /// Address of each entry, by index.
     pub entries: Vec<SocketAddr>,
-    /// What is seen.
+    /// Log of the play, which attempts are recorded in.
     pub history: Arc<History>,
-    /// Whether they are to end.
+    /// Set when the callers should end.
     pub stop: AtomicBool,
 }
 
-/// Hands jobs in until it is told to end. `number` tells callers apart.
+/// Submits jobs until `stop` is set. `number` identifies the caller.
 pub async fn run(shared: Arc<Shared>, seed: u64, number: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ number << 32);
     let transport = Transport::new(1, Options::default());
     for job in 1.. {
-        Timer::after(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
+        Timer::after(Duration::from_millis(random.random_range(0..MAX_PAUSE_MS))).await;
         if shared.stop.load(Ordering::Relaxed) {
             return;
         }
         let name = document::name(number << 32 | job);
-        hand_in(&shared, &transport, &mut random, &name).await;
+        submit(&shared, &transport, &mut random, &name).await;
     }
 }
 
-async fn hand_in(shared: &Shared, transport: &Transport, random: &mut ChaCha8Rng, name: &str) {
-    let Ok(&(tasks, ms, _)) = KINDS.choose_weighted(random, |(_, _, weight)| *weight) else {
+async fn submit(shared: &Shared, transport: &Transport, random: &mut ChaCha8Rng, name: &str) {
+    let Ok(&(tasks, ms, _)) = JOB_KINDS.choose_weighted(random, |(_, _, weight)| *weight) else {
         return;
     };
     let body = document::job(u32::from(tasks), ms).to_string();
     let begun = Instant::now();
     let mut entry = random.random_range(0..shared.entries.len());
     loop {
-        let left = Duration::from_millis(PATIENCE_MS).saturating_sub(begun.elapsed());
+        let left = Duration::from_millis(CALLER_TIMEOUT_MS).saturating_sub(begun.elapsed());
         if left.is_zero() {
             return;
         }
         let attempt = shared.history.begin(name, tasks, entry);
-        let ask = ask(name, attempt, &body, left);
-        let leaves_after = random.random_ratio(1, LEAVES).then(|| random.random_range(1..400));
+        let request = build_request(name, attempt, &body, left);
+        let leaves_after =
+            random.random_ratio(1, LEAVE_ONE_IN).then(|| random.random_range(1..400));
         let leave = async {
             match leaves_after {
                 Some(ms) => Timer::after(Duration::from_millis(ms)).await,
@@ -83,13 +85,13 @@
             };
             None
         };
-        let answer = async { Some(transport.send(shared.entries[entry], ask).await) };
+        let answer = async { Some(transport.send(shared.entries[entry], request).await) };
         let outcome = answer.or(leave).await.map_or(Outcome::Left, outcome);
         shared.history.end(name, attempt, outcome);
         match outcome {
             Outcome::Unsent => drop(Timer::after(UNSENT_PAUSE).await),
-            Outcome::Broken | Outcome::GivenUp | Outcome::Odd(_) => {
-                Timer::after(RESEND).await;
+            Outcome::Disconnected | Outcome::GivenUp | Outcome::Unexpected(_) => {
+                Timer::after(RESEND_DELAY).await;
             }
             Outcome::Completed
             | Outcome::Failed
@@ -102,15 +104,21 @@
     }
 }
 
-fn ask(name: &str, attempt: usize, body: &str, left: Duration) -> RawRequest {
+fn build_request(name: &str, attempt: usize, body: &str, left: Duration) -> RawRequest {
     let headers = vec![
         ("Host", HOST.to_owned()),
         ("Request-Id", history::request(name, attempt)),
         ("X-Remaining-Milliseconds", left.as_millis().to_string()),
     ];
-    let path = format!("{JOBS}{name}");
+    let path = format!("{JOBS_PATH}{name}");
     let body = body.to_owned().into();
-    RawRequest { method: Method::Post, path, headers, body, time_limit: left + ANSWER_WAY }
+    RawRequest {
+        method: Method::Post,
+        path,
+        headers,
+        body,
+        time_limit: left + ANSWER_DELAY_ALLOWANCE,
+    }
 }
 
 fn outcome(answer: Result<RawResponse, RequestError>) -> Outcome {
@@ -120,9 +128,9 @@
             (200, br#"{"state":"failed"}"#) => Outcome::Failed,
             (429 | 503, _) => Outcome::Refused,
             (504, _) => Outcome::GivenUp,
-            (status, _) => Outcome::Odd(status),
+            (status, _) => Outcome::Unexpected(status),
         },
-        Err(RequestError::Lost) => Outcome::Broken,
+        Err(RequestError::Lost) => Outcome::Disconnected,
         Err(RequestError::TimedOut) => Outcome::TimedOut,
         Err(RequestError::Unsent(_) | RequestError::Invalid) => Outcome::Unsent,
     }
--- a/soak/src/check/jobs.rs
+++ b/soak/src/check/jobs.rs
@@ -1,21 +1,21 @@
-//! Jobs: answers are whole, true and in time.
+//! Checks that the answers to jobs are complete, true and in time.
 
-use super::{CONTACT, Evidence, Violation};
+use super::{CONTACT_TIMEOUT, Evidence, Violation};
 use crate::history::{self, Attempt, Job, Outcome, Stop};
 use std::time::{Duration, Instant};
 
-/// Requests that are sent later than this after a planned stop began may be cut: callers had the
-/// time to learn of it.
-const STOP_KNOWN: Duration = Duration::from_secs(3);
+/// Requests sent later than this after a planned stop began may be cut off: callers had time to
+/// notice the stop.
+const STOP_NOTICE_TIME: Duration = Duration::from_secs(3);
 
-/// A planned stop may cut what is open at its very end.
-const STOP_GRACE: Duration = Duration::from_secs(5);
+/// A planned stop may cut off requests that are still open this long after it began.
+const STOP_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
-/// After the faults have healed, at least one job in this many is served.
-const RECOVERED: usize = 4;
+/// After recovery from the faults, at least one job in this many must be completed.
+const RECOVERY_ONE_IN: usize = 4;
 
-/// Jobs after the faults from which that is told.
-const RECOVERY_SAMPLE: usize = 10;
+/// Least number of jobs after recovery for which this is checked.
+const MIN_RECOVERY_JOBS: usize = 10;
 
 pub(super) fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let jobs = evidence.record.jobs.iter();
@@ -31,23 +31,23 @@
     violations
 }
 
-/// A job whose attempts were all refused, or never sent, has not run.
+/// Checks that a job has not run if each attempt was refused or never sent.
 fn refusal(evidence: &Evidence<'_>, name: &str, job: &Job) -> Option<Violation> {
-    let ends = || job.attempts.iter().filter_map(|attempt| attempt.end.map(|(_, how)| how));
-    let refused = ends().any(|how| how == Outcome::Refused)
-        && ends().all(|how| matches!(how, Outcome::Refused | Outcome::Unsent));
+    let ends = || job.attempts.iter().filter_map(|attempt| attempt.end.map(|(_, outcome)| outcome));
+    let refused = ends().any(|outcome| outcome == Outcome::Refused)
+        && ends().all(|outcome| matches!(outcome, Outcome::Refused | Outcome::Unsent));
     let starts = evidence.twice.starts(name);
-    (refused && starts > 0).then(|| Violation::UntrueRefusal { job: name.to_owned(), starts })
+    (refused && starts > 0).then(|| Violation::FalseRefusal { job: name.to_owned(), starts })
 }
 
-/// All tasks of a job that was answered as completed have ended well.
+/// Checks that all tasks of a job that was answered as completed have succeeded.
 fn completion(evidence: &Evidence<'_>, name: &str, job: &Job) -> Option<Violation> {
     let completed = |attempt: &Attempt| matches!(attempt.end, Some((_, Outcome::Completed)));
     if !job.attempts.iter().any(completed) {
         return None;
     }
     let task = (0..job.tasks).find(|index| !evidence.twice.is_done(name, *index))?;
-    Some(Violation::Partial { job: name.to_owned(), task })
+    Some(Violation::FalseCompletion { job: name.to_owned(), task })
 }
 
 fn attempt(
@@ -56,45 +56,49 @@
     index: usize,
     attempt: &Attempt,
 ) -> Option<Violation> {
-    let (at, how) = attempt.end?;
+    let (at, outcome) = attempt.end?;
     let (entry, job) = (attempt.entry, name.to_owned());
-    match how {
-        Outcome::Odd(status) => Some(Violation::Odd { job, status }),
-        Outcome::Broken if evidence.record.is_calm(attempt.sent, at, CONTACT) => {
+    match outcome {
+        Outcome::Unexpected(status) => Some(Violation::UnexpectedStatus { job, status }),
+        Outcome::Disconnected
+            if evidence.record.is_undisturbed(attempt.sent, at, CONTACT_TIMEOUT) =>
+        {
             let stop = stop(evidence, attempt, at)?;
-            // An entry that closes an idle connection can't know of a request on its way.
+            // An entry that closes an idle connection can't know of a request in transit.
             if !evidence.read[entry].contains(&history::request(name, index)) {
                 return None;
             }
             let after = at.saturating_duration_since(stop.at);
             Some(Violation::Cut { job, entry, after })
         }
-        Outcome::TimedOut if evidence.record.is_calm(attempt.sent, at, CONTACT) => {
+        Outcome::TimedOut if evidence.record.is_undisturbed(attempt.sent, at, CONTACT_TIMEOUT) => {
             Some(Violation::Unanswered { job, entry })
         }
         _ => None,
     }
 }
 
-/// The planned stop during which an attempt was cut off, if the stop had to leave it alone.
+/// Returns the planned stop during which an attempt was cut off, if the stop should not have
+/// affected it.
 fn stop<'a>(evidence: &'a Evidence<'_>, attempt: &Attempt, at: Instant) -> Option<&'a Stop> {
     evidence.record.stops.iter().find(|stop| {
         stop.entry == attempt.entry
             && stop.gone.is_none_or(|gone| attempt.sent <= gone)
-            && attempt.sent < stop.at + STOP_KNOWN
+            && attempt.sent < stop.at + STOP_NOTICE_TIME
             && at >= stop.at
-            && at < stop.at + STOP_GRACE
+            && at < stop.at + STOP_GRACE_PERIOD
     })
 }
 
-/// Jobs are served again after the faults.
+/// Checks that jobs are completed again after the faults.
 fn recovery(evidence: &Evidence<'_>) -> Option<Violation> {
-    let came_after =
-        |job: &&Job| job.attempts.first().is_some_and(|attempt| attempt.sent >= evidence.healed);
-    let jobs: Vec<&Job> = evidence.record.jobs.values().filter(came_after).collect();
+    let is_after_recovery = |job: &&Job| {
+        job.attempts.first().is_some_and(|attempt| attempt.sent >= evidence.recovered_at)
+    };
+    let jobs: Vec<&Job> = evidence.record.jobs.values().filter(is_after_recovery).collect();
     let completed =
         |job: &&&Job| job.attempts.iter().any(|at| matches!(at.end, Some((_, Outcome::Completed))));
     let (asked, served) = (jobs.len(), jobs.iter().filter(completed).count());
-    (asked >= RECOVERY_SAMPLE && served * RECOVERED < asked)
+    (asked >= MIN_RECOVERY_JOBS && served * RECOVERY_ONE_IN < asked)
         .then_some(Violation::NoRecovery { asked, served })
 }
--- a/soak/src/check/leaving.rs
+++ b/soak/src/check/leaving.rs
@@ -1,10 +1,10 @@
-//! Executors that leave get no new work.
+//! Checks that executors marked as leaving get no new work.
 
-use super::{CONTACT, Evidence, Violation};
+use super::{CONTACT_TIMEOUT, Evidence, Violation};
 use std::time::Duration;
 
-/// Time from an executor's notice in the store until it gets no new work.
-const EMPTY: Duration = Duration::from_secs(2);
+/// Time from the mark in the store until the executor must get no new work.
+const LEAVE_NOTICE_TIME: Duration = Duration::from_secs(2);
 
 pub(super) fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let starts = evidence.twice.begun();
@@ -14,7 +14,9 @@
         for start in starts.iter().filter(|start| start.executor == *executor) {
             let at = evidence.begun + Duration::from_micros(start.at.0);
             let after = at.saturating_duration_since(leaving.at);
-            if after > EMPTY && evidence.record.is_calm(leaving.at, at, CONTACT) {
+            if after > LEAVE_NOTICE_TIME
+                && evidence.record.is_undisturbed(leaving.at, at, CONTACT_TIMEOUT)
+            {
                 let (run, executor) = (start.run.to_string(), executor.clone());
                 violations.push(Violation::Leaving { run, executor, after });
             }
--- a/soak/src/check/mod.rs
+++ b/soak/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! The promises, checked against what was seen from outside.
+//! Checks the guarantees against what callers, executors and operators observed.
 
 mod configuration;
 mod jobs;
@@ -14,30 +14,30 @@
     time::{Duration, Instant},
 };
 
-/// An unplanned fault counts for this long after its end: the time after which an entry has to be
-/// back in touch.
-pub const CONTACT: Duration = Duration::from_secs(3);
+/// An unplanned fault excuses violations for this long after its end: the time in which an entry
+/// has to be connected again.
+pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a play is judged by.
+/// The observations that a play is judged by.
 #[derive(Debug)]
 pub struct Evidence<'a> {
-    /// What callers and operators saw.
+    /// Observations of callers and operators.
     pub record: &'a Record,
-    /// What executors saw.
+    /// Observations of the executors.
     pub twice: &'a Twice,
-    /// The time from which executors count.
+    /// The origin of the executors' clocks.
     pub begun: Instant,
-    /// When the faults were over and had time to heal.
-    pub healed: Instant,
+    /// When the faults were over and the time to recover had passed.
+    pub recovered_at: Instant,
     /// Names of the executors, by index.
     pub executors: &'a [String],
-    /// Requests that each entry has read, by their ids.
+    /// Ids of the requests that each entry has read, by the index of the entry.
     pub read: &'a [HashSet<String>],
-    /// Runs that are there after everything has come to rest.
+    /// Runs that still exist after all jobs had time to end.
     pub left_over: &'a [String],
 }
 
-/// Promises that were not kept.
+/// Returns the guarantees that were violated.
 pub fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut violations: Vec<Violation> =
         evidence.twice.broken().into_iter().map(|runs| Violation::Twice { runs }).collect();
--- a/soak/src/check/violation.rs
+++ b/soak/src/check/violation.rs
@@ -1,130 +1,130 @@
-//! Promises that were not kept.
+//! Violations of guarantees.
 
 use derive_more::Display;
 use std::time::Duration;
 
-/// A promise that was not kept.
+/// A guarantee that was violated.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Violation {
-    /// A task ran at two executors at a time.
+    /// A task ran at two executors at the same time.
     #[display("a task ran twice at a time: {runs}")]
     Twice {
-        /// The runs.
+        /// The concurrent runs.
         runs: String,
     },
-    /// A job that was refused each time has run.
+    /// A job has run although each of its attempts was refused.
     #[display("job {job} was refused as not run, and {starts} tasks were started")]
-    UntrueRefusal {
-        /// The job.
+    FalseRefusal {
+        /// Name of the job.
         job: String,
-        /// Starts of its tasks.
+        /// Number of starts of its tasks.
         starts: u64,
     },
-    /// A job was said to be completed, and a task has not ended well.
+    /// A job was answered as completed although a task has not succeeded.
     #[display("job {job} was answered as completed, and task {task} has not ended")]
-    Partial {
-        /// The job.
+    FalseCompletion {
+        /// Name of the job.
         job: String,
-        /// The first such task.
+        /// Index of the first such task.
         task: u16,
     },
-    /// An answer that is none of those that callers know.
+    /// An answer has a status that callers don't expect.
     #[display("job {job} was answered with status {status}")]
-    Odd {
-        /// The job.
+    UnexpectedStatus {
+        /// Name of the job.
         job: String,
-        /// The status.
+        /// Its HTTP status.
         status: u16,
     },
-    /// A request was cut off although only planned work went on.
+    /// A request was cut off although there were only planned faults.
     #[display("job {job} was cut off {} ms after entry {entry} was told to stop", after.as_millis())]
     Cut {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
-        /// Time since it was told.
+        /// Time since SIGTERM was sent.
         after: Duration,
     },
-    /// A request got no answer in time although nothing was disturbed.
+    /// A request got no answer in time although there was no unplanned fault.
     #[display("job {job} got no answer of entry {entry} in time")]
     Unanswered {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
-    /// A task was started at an executor that leaves.
+    /// A task was started at an executor that is marked as leaving.
     #[display("{run} was started {} ms after executor {executor} began to leave", after.as_millis())]
     Leaving {
-        /// The run.
+        /// Name of the run.
         run: String,
-        /// The executor.
+        /// Name of the executor.
         executor: String,
-        /// Time since the store had it.
+        /// Time since the store held the mark.
         after: Duration,
     },
-    /// An entry had an older configuration than in time.
+    /// An entry did not apply a configuration in time.
     #[display("entry {entry} had configuration {seen} {} ms after {known} was written", after.as_millis())]
-    Late {
-        /// The entry.
+    LateConfiguration {
+        /// Index of the entry.
         entry: usize,
-        /// What it had.
+        /// Version that it had.
         seen: u64,
-        /// What it had to have.
+        /// Version that it had to have.
         known: u64,
-        /// Time since then.
+        /// Time since that version was written.
         after: Duration,
     },
-    /// A process went back to an older configuration.
+    /// A process returned to an older configuration.
     #[display("entry {entry} went back from configuration {from} to {to}")]
-    Back {
-        /// The entry.
+    ConfigurationRollback {
+        /// Index of the entry.
         entry: usize,
-        /// What it had.
+        /// Version that it had.
         from: u64,
-        /// What it had later.
+        /// Older version that it had later.
         to: u64,
     },
-    /// A run went on although nobody waited for its job.
+    /// A run continued although no caller waited for its job.
     #[display("{run} ran {} ms after the last caller of its job had gone", span.as_millis())]
     Unwanted {
-        /// The run.
+        /// Name of the run.
         run: String,
-        /// For how long nobody had waited.
+        /// Time since the last caller had left.
         span: Duration,
     },
-    /// A run is still there after everything has come to rest.
+    /// A run still exists after all jobs had time to end.
     #[display("{run} is still there")]
     LeftOver {
-        /// The run.
+        /// Name of the run.
         run: String,
     },
-    /// Too little is served after the faults.
+    /// Too few jobs are completed after the faults.
     #[display("of {asked} jobs after the faults, {served} were completed")]
     NoRecovery {
-        /// Jobs that came then.
+        /// Number of jobs submitted after recovery.
         asked: usize,
-        /// Those that were completed.
+        /// Number of them that were completed.
         served: usize,
     },
 }
 
 impl Violation {
-    /// Whether the promise says by when something has to be so. Such a one can be judged only where
-    /// the play's own processes get the processor when they need it.
+    /// Returns whether the guarantee has a time bound. Such a violation is only meaningful where
+    /// the processes of the play get processor time without delay.
     pub fn is_timed(&self) -> bool {
         match self {
             Violation::Twice { .. }
-            | Violation::UntrueRefusal { .. }
-            | Violation::Partial { .. }
-            | Violation::Odd { .. }
-            | Violation::Back { .. }
+            | Violation::FalseRefusal { .. }
+            | Violation::FalseCompletion { .. }
+            | Violation::UnexpectedStatus { .. }
+            | Violation::ConfigurationRollback { .. }
             | Violation::LeftOver { .. } => false,
             Violation::Cut { .. }
             | Violation::Unanswered { .. }
             | Violation::Leaving { .. }
-            | Violation::Late { .. }
+            | Violation::LateConfiguration { .. }
             | Violation::Unwanted { .. }
             | Violation::NoRecovery { .. } => true,
         }
--- a/soak/src/document.rs
+++ b/soak/src/document.rs
@@ -1,20 +1,20 @@
-//! What operators and callers write: configurations and jobs.
+//! Builds the documents that operators and callers write: configurations and jobs.
 
 use serde_json::{Value, json};
 
-/// The service of all executors.
+/// Name of the service that all executors run.
 pub const SERVICE: &str = "templating";
 
-/// The host of all queues.
+/// `Host` header of all queues.
 pub const HOST: &str = "shop.example";
 
-/// The path of the queue that all jobs go to.
-pub const JOBS: &str = "/jobs/";
+/// Path prefix of the queue that all jobs are submitted to.
+pub const JOBS_PATH: &str = "/jobs/";
 
-/// How long callers wait, in milliseconds.
-pub const PATIENCE_MS: u64 = 3_000;
+/// How long callers wait for the answer to a job, in milliseconds.
+pub const CALLER_TIMEOUT_MS: u64 = 3_000;
 
-/// A job of tasks that take `ms` each.
+/// Returns a job of `tasks` tasks that run for `ms` milliseconds each.
 pub fn job(tasks: u32, ms: u64) -> Value {
     let spec = json!({ "ms": ms, "cpu": 27_000 }).to_string();
     json!({
@@ -24,17 +24,18 @@
     })
 }
 
-/// A caller's name of a job.
+/// Returns the name that a caller gives to a job.
 pub fn name(number: u64) -> String {
     format!("{number:016x}")
 }
 
-/// The path of the queue that only one version of the configuration has.
-pub fn marker(version: u64) -> String {
+/// Returns the path of the queue that exists only in one version of the configuration.
+pub fn marker_path(version: u64) -> String {
     format!("/only-{version}/")
 }
 
-/// A configuration with the queue for all jobs and the one that tells its version.
+/// Returns a configuration with the queue for all jobs and the marker queue that identifies its
+/// version.
 pub fn config(version: u64, timeout_ms: u64) -> Vec<u8> {
     let route = |name: &str, prefix: &str| {
         json!({
@@ -45,7 +46,7 @@
     };
     let config = json!({
         "version": version,
-        "routes": [route("jobs", JOBS), route("marker", &marker(version))],
+        "routes": [route("jobs", JOBS_PATH), route("marker", &marker_path(version))],
         "services": [{ "name": SERVICE, "health_path": "/health", "enforces_capacity": true }],
         "limits": { "max_body_bytes": 4_096 },
     });
--- a/soak/src/entry.rs
+++ b/soak/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry: a real process, controlled by signals from outside.
+//! Starts an entry as a process of its own and controls it by signals.
 
 use serde_json::json;
 use smol::Timer;
@@ -11,30 +11,30 @@
     time::{Duration, Instant},
 };
 
-/// Longest wait until a stopped process stands still.
-const PAUSE_LIMIT: Duration = Duration::from_secs(5);
+/// Longest wait until a process that got SIGSTOP is stopped.
+const PAUSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where an entry listens, and what it is told to listen and connect to.
+/// Names and addresses that an entry's settings are made from.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Names the entry and its files.
+    /// Name of the entry; its settings and log files are named after it.
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub data_centre: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where its readiness is asked for.
+    /// Address of the readiness check.
     pub readiness: SocketAddr,
-    /// Where other entries connect.
+    /// Address for other entries.
     pub peers: SocketAddr,
-    /// What it announces to other entries instead, if anything.
+    /// Address that it announces to other entries instead of `peers`; `None` announces `peers`.
     pub reached_at: Option<SocketAddr>,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
 }
 
 impl Setup {
-    /// An entry on free ports.
+    /// Returns the setup of an entry on free ports.
     ///
     /// # Errors
     ///
@@ -55,9 +55,9 @@
 /// A running entry. Killed when it is dropped.
 #[derive(Debug)]
 pub struct Entry {
-    /// Where it listens.
+    /// Its names and addresses.
     pub setup: Setup,
-    /// Counts its processes, from 1.
+    /// Number of its current process, counted from 1; each restart increments it.
     pub boot: u32,
     program: PathBuf,
     settings: PathBuf,
@@ -65,7 +65,7 @@
 }
 
 impl Entry {
-    /// Starts `program` with settings that are written to `folder`, where it also logs to.
+    /// Starts `program` with settings that it writes to `folder`; the log is written there too.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
         Ok(Entry { setup, boot: 1, program: program.to_owned(), settings, child })
     }
 
-    /// Ends the process at once.
+    /// Kills the process with SIGKILL and waits for its end.
     ///
     /// # Errors
     ///
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// Starts another process in the place of one that has ended or is killed now.
+    /// Kills the process if it still runs, and starts another one with the same settings.
     ///
     /// # Errors
     ///
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Tells the process to stop.
+    /// Asks the process to stop, with SIGTERM.
     ///
     /// # Errors
     ///
@@ -125,14 +125,15 @@
         self.signal("-TERM")
     }
 
-    /// Stops the process until [`resume`](Self::resume); returns once it stands still.
+    /// Suspends the process with SIGSTOP until [`resume`](Self::resume); returns once it is
+    /// stopped.
     ///
     /// # Errors
     ///
-    /// When the signal can't be sent, or the process runs on.
+    /// When the signal can't be sent, or the process is still running after the timeout.
     pub async fn pause(&self) -> io::Result<()> {
         self.signal("-STOP")?;
-        let until = Instant::now() + PAUSE_LIMIT;
+        let until = Instant::now() + PAUSE_TIMEOUT;
         while !self.is_paused()? {
             if Instant::now() > until {
                 return Err(io::ErrorKind::TimedOut.into());
@@ -142,7 +143,7 @@
         Ok(())
     }
 
-    /// Lets a paused process run on.
+    /// Continues a paused process, with SIGCONT.
     ///
     /// # Errors
     ///
@@ -151,16 +152,16 @@
         self.signal("-CONT")
     }
 
-    /// Whether the process has ended, and if so whether as planned.
+    /// Returns whether the process exited with success; `None` while it runs.
     ///
     /// # Errors
     ///
-    /// When its state can't be asked for.
+    /// When its state can't be read.
     pub fn ended(&mut self) -> io::Result<Option<bool>> {
         Ok(self.child.try_wait()?.map(|status| status.success()))
     }
 
-    /// What the entry has logged until now.
+    /// Returns what all processes of the entry have logged so far.
     ///
     /// # Errors
     ///
@@ -171,7 +172,7 @@
 
     fn is_paused(&self) -> io::Result<bool> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        // The state follows the name, which is in brackets and may hold spaces.
+        // The state follows the process name, which is in brackets and may contain spaces.
         Ok(stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T')))
     }
 
@@ -187,7 +188,7 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // Fails only for a process that has ended.
+        // Fails only for a process that has ended already.
         let _ = self.kill();
     }
 }
@@ -196,7 +197,7 @@
     let log = fs::OpenOptions::new().create(true).append(true).open(log_path(settings))?;
     let mut command = Command::new(program);
     let errors = log.try_clone()?;
-    // The threads of the soak are not those of an entry.
+    // A thread count that is set for the soak must not apply to the entry.
     command.env_remove("SMOL_THREADS").arg("--settings").arg(settings);
     command.stdin(Stdio::null()).stdout(log).stderr(errors);
     ports::spawn(&mut command)
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers, back ends and operators saw of a play.
+//! Records what callers, executors and operators observe during a play.
 
 use parking_lot::Mutex;
 use std::{
@@ -6,119 +6,120 @@
     time::{Duration, Instant},
 };
 
-/// How one attempt at a request ended.
+/// How one submission of a job ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// All tasks ended well, it says.
+    /// The answer says that all tasks completed.
     Completed,
-    /// A task failed too often, it says.
+    /// The answer says that a task failed too often.
     Failed,
-    /// It has not run, it says.
+    /// The answer says that nothing of the job has run.
     Refused,
-    /// It began and can't end in time, it says.
+    /// The answer says that the job was given up because it can't end in time.
     GivenUp,
-    /// Another answer.
-    Odd(u16),
+    /// An answer with another status, which is given.
+    Unexpected(u16),
     /// The connection ended before the answer.
-    Broken,
+    Disconnected,
     /// No answer came in time.
     TimedOut,
-    /// Nothing was sent.
+    /// The request could not be sent.
     Unsent,
-    /// The caller left before the answer.
+    /// The caller closed the connection before the answer.
     Left,
 }
 
-/// One attempt at a request.
+/// One submission of a job to an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The entry.
+    /// Index of the entry that got the request.
     pub entry: usize,
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// When and how it ended; nothing while it is open.
+    /// When and how it ended; `None` while it is open.
     pub end: Option<(Instant, Outcome)>,
 }
 
-/// One job.
+/// One job of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Job {
-    /// Its tasks.
+    /// Number of tasks.
     pub tasks: u16,
-    /// Its attempts, in order.
+    /// Submissions of the job, in order.
     pub attempts: Vec<Attempt>,
 }
 
-/// The version of the configuration that an entry showed.
+/// A version of the configuration that was observed at an entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
-    /// The entry.
+pub struct ConfigObservation {
+    /// Index of the entry.
     pub entry: usize,
-    /// Its process.
+    /// Number of its process.
     pub boot: u32,
-    /// When it was asked.
+    /// When the request for it was sent.
     pub asked: Instant,
-    /// What was in force.
+    /// Version that was in force.
     pub version: u64,
 }
 
-/// An executor that was told to be emptied.
+/// An executor that was marked as leaving.
 #[derive(Clone, Copy, Debug)]
 pub struct Leaving {
-    /// Which.
+    /// Index of the executor.
     pub executor: usize,
-    /// When the store had it.
+    /// When the store held the mark.
     pub at: Instant,
 }
 
-/// A planned stop.
+/// A planned stop of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
-    /// The entry.
+    /// Index of the entry.
     pub entry: usize,
-    /// When it was told.
+    /// When SIGTERM was sent.
     pub at: Instant,
-    /// When its process was gone.
+    /// When its process had ended; `None` while it runs.
     pub gone: Option<Instant>,
 }
 
-/// What has been seen so far.
+/// Thread-safe log of what has been observed so far.
 #[derive(Debug, Default)]
 pub struct History {
     state: Mutex<Record>,
 }
 
-/// What was seen of a play.
+/// What was observed during a play.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// Jobs by name.
     pub jobs: BTreeMap<String, Job>,
-    /// Versions that entries showed, in order.
-    pub seen: Vec<Seen>,
-    /// Configurations that the store has, with when it had them.
+    /// Versions observed at entries, in order.
+    pub config_observations: Vec<ConfigObservation>,
+    /// Versions written to the store, with the time of the write.
     pub configured: Vec<(Instant, u64)>,
-    /// Executors that leave.
+    /// Executors that were marked as leaving.
     pub leaving: Vec<Leaving>,
-    /// Planned stops.
+    /// Planned stops of entries.
     pub stops: Vec<Stop>,
-    /// When faults that nobody planned were there.
-    pub disturbed: Vec<(Instant, Instant)>,
-    /// Runs that went on although nobody waited, with how long nobody had.
+    /// Beginning and end of each unplanned fault.
+    pub disturbances: Vec<(Instant, Instant)>,
+    /// Runs that continued although no caller waited for their job, with the time since the last
+    /// one left.
     pub unwanted: Vec<(String, Duration)>,
 }
 
-/// The caller's id of an attempt at a job.
+/// Returns the request id that a caller gives to a submission of a job.
 pub fn request(job: &str, attempt: usize) -> String {
     format!("{job}.{attempt}")
 }
 
 impl History {
-    /// Notes something.
-    pub fn note(&self, note: impl FnOnce(&mut Record)) {
-        note(&mut self.state.lock());
+    /// Updates the record.
+    pub fn update(&self, change: impl FnOnce(&mut Record)) {
+        change(&mut self.state.lock());
     }
 
-    /// Notes an attempt that begins; returns its position among the job's.
+    /// Records the beginning of a submission; returns its position among those of the job.
     pub fn begin(&self, name: &str, tasks: u16, entry: usize) -> usize {
         let mut state = self.state.lock();
         let job = state.jobs.entry(name.to_owned()).or_default();
@@ -127,7 +128,7 @@
         job.attempts.len() - 1
     }
 
-    /// Notes how an attempt ended.
+    /// Records how a submission ended.
     pub fn end(&self, name: &str, attempt: usize, outcome: Outcome) {
         let mut state = self.state.lock();
         let job = state.jobs.get_mut(name);
@@ -136,7 +137,8 @@
         }
     }
 
-    /// For how long nobody has waited for a job; `None` if somebody does.
+    /// Returns for how long no caller has waited for a job; `None` if one does or the job is
+    /// unknown.
     pub fn unwanted_for(&self, name: &str) -> Option<Duration> {
         let state = self.state.lock();
         let job = state.jobs.get(name)?;
@@ -145,16 +147,16 @@
         ends?.into_iter().max().map(|at| at.elapsed())
     }
 
-    /// All that was seen.
+    /// Returns a copy of the record.
     pub fn record(&self) -> Record {
         self.state.lock().clone()
     }
 }
 
 impl Record {
-    /// Whether no unplanned fault was there from `before` ahead of a moment until another one.
-    pub fn is_calm(&self, from: Instant, until: Instant, before: Duration) -> bool {
+    /// Returns whether no unplanned fault was active between `before` ahead of `from` and `until`.
+    pub fn is_undisturbed(&self, from: Instant, until: Instant, before: Duration) -> bool {
         let from = from.checked_sub(before).unwrap_or(from);
-        self.disturbed.iter().all(|(begin, end)| *end < from || *begin > until)
+        self.disturbances.iter().all(|(begin, end)| *end < from || *begin > until)
     }
 }
--- a/soak/src/inject.rs
+++ b/soak/src/inject.rs
@@ -1,10 +1,10 @@
-//! Carries the steps of a plan out, each beside the others.
+//! Injects the faults of a plan into a site, concurrently.
 
 use crate::{
     Error, document,
     history::{History, Leaving, Stop},
     plan::{EntryFault, ExecutorFault, Fault, Step, StoreFault},
-    proxy::{self, Way},
+    proxy::{self, Forwarding},
     site::Site,
 };
 use ::site::unit::Span;
@@ -18,134 +18,156 @@
     time::{Duration, Instant},
 };
 
-/// Longest time from SIGTERM until a process is killed; the settings say the same.
-const GRACE: Duration = Duration::from_secs(6);
+/// Longest time from SIGTERM until a process is killed; the same as `grace_s` in the entry's
+/// settings.
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How often the end of a process is looked for.
-const END_POLL: Duration = Duration::from_millis(20);
+/// How often the exit of a process is polled.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A process that was killed starts again after the time that its fault lasts, at most this.
-const DOWN_MOST: Duration = Duration::from_millis(1_000);
+/// Longest time until a killed process is started again; shorter if its fault is.
+const MAX_DOWNTIME: Duration = Duration::from_millis(1_000);
 
-/// How long an entry is counted as disturbed after its start.
-const START_TIME: Duration = Duration::from_millis(1_000);
+/// How long an unplanned fault counts after its end, while a restarted entry starts up.
+const STARTUP_TIME: Duration = Duration::from_millis(1_000);
 
-/// Longest time that what is slow takes longer by.
-const DELAY: Duration = Duration::from_millis(60);
+/// Delay of each direction of a slow connection.
+const NETWORK_DELAY: Duration = Duration::from_millis(60);
 
-/// How many times as long a slow executor takes.
-const DRAG: u64 = 4;
+/// Factor by which a slow executor takes longer.
+const SLOW_FACTOR: u64 = 4;
 
-/// Carries steps out on a site.
+/// Injects faults into a site.
 #[derive(Debug)]
 pub struct Injector {
-    /// The site.
+    /// The site that faults are injected into.
     pub site: Arc<Site>,
-    /// What is seen.
+    /// Log of the play, which faults are recorded in.
     pub history: Arc<History>,
-    /// The newest configuration.
+    /// Version of the newest configuration.
     pub version: AtomicU64,
 }
 
-/// Both directions silent.
-const CUT: proxy::Mode = proxy::Mode { there: Way::Silent, back: Way::Silent };
+/// Blocks both directions.
+const BLOCK_BOTH: proxy::Mode =
+    proxy::Mode { to_target: Forwarding::Blocked, from_target: Forwarding::Blocked };
 
-/// What is sent is heard, the answer is not.
-const ANSWERS_HELD: proxy::Mode = proxy::Mode { there: Way::Open, back: Way::Silent };
+/// Forwards requests and blocks the responses.
+const BLOCK_RESPONSES: proxy::Mode =
+    proxy::Mode { to_target: Forwarding::Immediate, from_target: Forwarding::Blocked };
 
-/// What is sent is not heard.
-const HELD: proxy::Mode = proxy::Mode { there: Way::Silent, back: Way::Open };
+/// Blocks requests.
+const BLOCK_REQUESTS: proxy::Mode =
+    proxy::Mode { to_target: Forwarding::Blocked, from_target: Forwarding::Immediate };
 
-/// Everything takes longer.
-const SLOW: proxy::Mode = proxy::Mode { there: Way::Slow(DELAY), back: Way::Slow(DELAY) };
+/// Delays both directions.
+const DELAY_BOTH: proxy::Mode = proxy::Mode {
+    to_target: Forwarding::Delayed(NETWORK_DELAY),
+    from_target: Forwarding::Delayed(NETWORK_DELAY),
+};
 
 impl Injector {
-    /// Carries a step out, to its end.
+    /// Injects a fault and returns when it is over.
     ///
     /// # Errors
     ///
     /// When a process can't be signalled or started.
     pub async fn inject(&self, step: Step) -> Result<(), Error> {
         let begun = Instant::now();
-        self.disturb(step.fault, begun, begun + step.lasts);
+        self.record_disturbance(step.fault, begun, begun + step.duration);
         match step.fault {
-            Fault::Entry(entry, what) => self.entry(entry, what, step.lasts).await?,
-            Fault::Executor(executor, what) => self.executor(executor, what, step.lasts).await,
-            Fault::Store(what) => self.whole_store(what, step.lasts).await,
+            Fault::Entry(entry, what) => self.inject_entry(entry, what, step.duration).await?,
+            Fault::Executor(executor, what) => {
+                self.inject_executor(executor, what, step.duration).await
+            }
+            Fault::Store(what) => self.inject_store(what, step.duration).await,
             Fault::Configure => self.configure(),
         }
-        // A fault waits for another one that has hold of the same process.
-        self.disturb(step.fault, begun, Instant::now());
+        // A fault waits for another one that has locked the same process, so it may end later than
+        // planned.
+        self.record_disturbance(step.fault, begun, Instant::now());
         Ok(())
     }
 
-    /// Notes when a fault was there that nobody planned.
-    fn disturb(&self, fault: Fault, from: Instant, until: Instant) {
+    /// Records the time of a fault, unless it is planned.
+    fn record_disturbance(&self, fault: Fault, from: Instant, until: Instant) {
         if !fault.is_planned() {
-            self.history.note(|record| record.disturbed.push((from, until + START_TIME)));
+            self.history.update(|record| record.disturbances.push((from, until + STARTUP_TIME)));
         }
     }
 
-    async fn entry(&self, entry: usize, what: EntryFault, lasts: Duration) -> Result<(), Error> {
+    async fn inject_entry(
+        &self,
+        entry: usize,
+        what: EntryFault,
+        duration: Duration,
+    ) -> Result<(), Error> {
         match what {
-            EntryFault::Kill => self.kill(entry, lasts).await?,
-            EntryFault::Freeze => self.freeze(entry, lasts).await?,
+            EntryFault::Kill => self.kill(entry, duration).await?,
+            EntryFault::Freeze => self.freeze(entry, duration).await?,
             EntryFault::Terminate => self.terminate(entry).await?,
             EntryFault::ResetCallers => self.site.nodes[entry].callers.reset(),
-            EntryFault::CutPeers => self.peers(entry, CUT, lasts).await,
-            EntryFault::DeafenPeers => self.peers(entry, HELD, lasts).await,
-            EntryFault::SlowPeers => self.peers(entry, SLOW, lasts).await,
-            EntryFault::CutStore => self.store(entry, CUT, lasts).await,
-            EntryFault::LoseStoreAnswers => self.store(entry, ANSWERS_HELD, lasts).await,
+            EntryFault::CutPeers => self.with_peer_mode(entry, BLOCK_BOTH, duration).await,
+            EntryFault::DeafenPeers => self.with_peer_mode(entry, BLOCK_REQUESTS, duration).await,
+            EntryFault::SlowPeers => self.with_peer_mode(entry, DELAY_BOTH, duration).await,
+            EntryFault::CutStore => self.with_store_mode(entry, BLOCK_BOTH, duration).await,
+            EntryFault::LoseStoreAnswers => {
+                self.with_store_mode(entry, BLOCK_RESPONSES, duration).await
+            }
         }
         Ok(())
     }
 
-    async fn executor(&self, index: usize, what: ExecutorFault, lasts: Duration) {
+    async fn inject_executor(&self, index: usize, what: ExecutorFault, duration: Duration) {
         let worker = &self.site.workers[index];
         match what {
-            ExecutorFault::HoldOrders => self.orders(index, HELD, lasts).await,
-            ExecutorFault::HoldAnswers => self.orders(index, ANSWERS_HELD, lasts).await,
+            ExecutorFault::HoldOrders => {
+                self.with_order_mode(index, BLOCK_REQUESTS, duration).await
+            }
+            ExecutorFault::HoldAnswers => {
+                self.with_order_mode(index, BLOCK_RESPONSES, duration).await
+            }
             ExecutorFault::ResetOrders => worker.orders.reset(),
             ExecutorFault::Dark => worker.executor.change(|life, now| {
-                life.dark_until = now + Span(lasts.as_micros() as u64);
+                life.dark_until = now + Span(duration.as_micros() as u64);
             }),
             ExecutorFault::Fail => {
-                self.misbehave(index, lasts, |life, fails| life.fails = fails).await;
+                self.misbehave(index, duration, |life, fails| life.fails = fails).await;
             }
             ExecutorFault::Drag => {
-                let drag = |life: &mut Life, drags| life.factor = if drags { DRAG } else { 1 };
-                self.misbehave(index, lasts, drag).await;
+                let slow_down =
+                    |life: &mut Life, is_slow| life.factor = if is_slow { SLOW_FACTOR } else { 1 };
+                self.misbehave(index, duration, slow_down).await;
             }
             ExecutorFault::Leave => self.leave(index),
         }
     }
 
-    /// Writes the next configuration.
+    /// Writes the next version of the configuration to the store.
     pub fn configure(&self) {
         let version = self.version.fetch_add(1, Ordering::Relaxed) + 1;
-        let patience = document::PATIENCE_MS + version;
-        self.site.store.put("op/config", &document::config(version, patience));
-        self.history.note(|record| record.configured.push((Instant::now(), version)));
+        let timeout_ms = document::CALLER_TIMEOUT_MS + version;
+        self.site.store.put("op/config", &document::config(version, timeout_ms));
+        self.history.update(|record| record.configured.push((Instant::now(), version)));
     }
 
     fn leave(&self, executor: usize) {
         self.site.register(executor, true);
         let at = Instant::now();
-        self.history.note(|record| record.leaving.push(Leaving { executor, at }));
+        self.history.update(|record| record.leaving.push(Leaving { executor, at }));
     }
 
-    async fn kill(&self, entry: usize, lasts: Duration) -> Result<(), Error> {
+    async fn kill(&self, entry: usize, duration: Duration) -> Result<(), Error> {
         let mut process = self.process(entry).await;
         process.kill()?;
-        Timer::after(lasts.min(DOWN_MOST)).await;
+        Timer::after(duration.min(MAX_DOWNTIME)).await;
         Ok(process.restart()?)
     }
 
-    async fn freeze(&self, entry: usize, lasts: Duration) -> Result<(), Error> {
+    async fn freeze(&self, entry: usize, duration: Duration) -> Result<(), Error> {
         let process = self.process(entry).await;
         process.pause().await?;
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         Ok(process.resume()?)
     }
 
@@ -153,45 +175,45 @@
         let mut process = self.process(entry).await;
         process.terminate()?;
         let at = Instant::now();
-        self.history.note(|record| record.stops.push(Stop { entry, at, gone: None }));
-        while process.ended()?.is_none() && at.elapsed() < GRACE {
-            Timer::after(END_POLL).await;
+        self.history.update(|record| record.stops.push(Stop { entry, at, gone: None }));
+        while process.ended()?.is_none() && at.elapsed() < STOP_TIMEOUT {
+            Timer::after(EXIT_POLL_INTERVAL).await;
         }
         let gone = Some(Instant::now());
-        self.history.note(|record| {
+        self.history.update(|record| {
             let stop = record.stops.iter_mut().find(|stop| stop.entry == entry && stop.at == at);
             stop.into_iter().for_each(|stop| stop.gone = gone);
         });
         Ok(process.restart()?)
     }
 
-    /// The process of an entry, once no other fault of that kind has hold of it.
+    /// Locks the process of an entry, once no other fault holds it.
     async fn process(&self, entry: usize) -> MutexGuard<'_, crate::entry::Entry> {
         self.site.nodes[entry].entry.lock().await
     }
 
-    async fn peers(&self, entry: usize, mode: proxy::Mode, lasts: Duration) {
+    async fn with_peer_mode(&self, entry: usize, mode: proxy::Mode, duration: Duration) {
         let relay = &self.site.nodes[entry].peers;
         relay.set(mode);
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         relay.set(proxy::Mode::default());
     }
 
-    async fn store(&self, entry: usize, mode: proxy::Mode, lasts: Duration) {
+    async fn with_store_mode(&self, entry: usize, mode: proxy::Mode, duration: Duration) {
         let proxy = &self.site.nodes[entry].store;
         proxy.set(mode);
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         proxy.set(proxy::Mode::default());
     }
 
-    async fn orders(&self, executor: usize, mode: proxy::Mode, lasts: Duration) {
+    async fn with_order_mode(&self, executor: usize, mode: proxy::Mode, duration: Duration) {
         let proxy = &self.site.workers[executor].orders;
         proxy.set(mode);
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         proxy.set(proxy::Mode::default());
     }
 
-    async fn whole_store(&self, what: StoreFault, lasts: Duration) {
+    async fn inject_store(&self, what: StoreFault, duration: Duration) {
         let store = &self.site.store;
         let mode = match what {
             StoreFault::Busy => Mode::Busy,
@@ -199,14 +221,14 @@
             StoreFault::Forget => return store.forget(),
         };
         store.set_mode(mode);
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         store.set_mode(Mode::Up);
     }
 
-    async fn misbehave(&self, index: usize, lasts: Duration, change: impl Fn(&mut Life, bool)) {
+    async fn misbehave(&self, index: usize, duration: Duration, change: impl Fn(&mut Life, bool)) {
         let executor = &self.site.workers[index].executor;
         executor.change(|life, _| change(life, true));
-        Timer::after(lasts).await;
+        Timer::after(duration).await;
         executor.change(|life, _| change(life, false));
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Real entries as separate processes on loopback, with callers, executors and a store around
-//! them, and faults that come from outside: proxies that delay, hold back and reset connections,
+//! Runs real entries as separate processes on loopback, with callers and stand-ins for executors
+//! and the store, and injects faults from outside: proxies that delay, block and reset connections,
 //! signals that stop, pause and kill processes, a store and executors that misbehave.
 //!
-//! A seed decides what can be decided. The promises are checked by what callers, executors and
-//! operators see.
+//! One such test is a play. Its seed determines the faults and the jobs, but not the timing of the
+//! processes. The guarantees are checked against what callers, executors and operators observe.
 
 pub mod caller;
 pub mod check;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays seeds and tells what was broken.
+//! Command line of the soak test: plays seeds and prints the violations.
 
 use clap::Parser;
 use smol::lock::Semaphore;
@@ -12,65 +12,67 @@
 
 /// Plays seeds against real entries and checks what callers, executors and operators see.
 ///
-/// Exit codes: 0 nothing was broken; 1 something was; 2 the command line is wrong; 3 a play could
-/// not go on.
+/// Exit codes: 0 no violation; 1 violations; 2 invalid command line; 3 a play could not be carried
+/// out.
 #[derive(Debug, Parser)]
 #[command(name = "soak", version)]
 struct Args {
-    /// The program of an entry; without it, the one beside this program.
+    /// Executable of an entry; by default `primrosestep-node` in the folder of this program.
     #[arg(long)]
     node: Option<PathBuf>,
-    /// The first seed; without it, one is drawn.
+    /// First seed; random by default.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds, one after the other.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Play the seeds that ever failed, which are kept in `soak/seeds.txt`.
+    /// Play the seeds that have failed before, which are listed in `soak/seeds.txt`.
     #[arg(long, conflicts_with_all = ["seed", "seeds"])]
     kept: bool,
-    /// How many are played at a time.
+    /// Number of seeds that are played at the same time.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Entries, each a process.
+    /// Number of entries, each a process.
     #[arg(long, default_value_t = Size::default().entries)]
     entries: usize,
-    /// Executors.
+    /// Number of executors.
     #[arg(long, default_value_t = Size::default().executors)]
     executors: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     #[arg(long, default_value_t = Size::default().callers)]
     callers: usize,
-    /// Seconds during which faults begin.
+    /// Length of the time in which faults begin, in seconds.
     #[arg(long, default_value_t = Size::default().faults_for.as_secs())]
     seconds: u64,
-    /// Break this promise on purpose instead of playing a seed's faults.
+    /// Violate this guarantee on purpose instead of playing a seed's faults.
     #[arg(long)]
     sabotage: Option<Sabotage>,
-    /// Print the steps of the seeds and play nothing.
+    /// Print the faults of the seeds and play nothing.
     #[arg(long)]
     plan: bool,
 }
 
-/// Seeds that ever failed, and why.
-const KEPT: &str = include_str!("../seeds.txt");
+/// Seeds that have failed before, each with the reason.
+const KEPT_SEEDS: &str = include_str!("../seeds.txt");
 
-const BROKEN: u8 = 1;
-const NOT_PLAYED: u8 = 3;
+/// Exit code when a guarantee was violated.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit code when a play could not be carried out.
+const EXIT_NOT_PLAYED: u8 = 3;
 
 fn main() -> ExitCode {
     let args = Args::parse();
     match smol::block_on(run(args)) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
+        Ok(false) => ExitCode::from(EXIT_VIOLATION),
         Err(error) => {
             eprintln!("error: {error}");
-            ExitCode::from(NOT_PLAYED)
+            ExitCode::from(EXIT_NOT_PLAYED)
         }
     }
 }
 
-/// Returns whether all promises were kept.
+/// Returns whether no guarantee was violated.
 async fn run(args: Args) -> Result<bool, Error> {
     let size = Size {
         entries: args.entries.max(1),
@@ -79,8 +81,8 @@
         faults_for: Duration::from_secs(args.seconds.max(1)),
     };
     let seeds = match args.kept {
-        true => kept().collect(),
-        false => drawn(args.seed, args.seeds),
+        true => kept_seeds().collect(),
+        false => consecutive_seeds(args.seed, args.seeds),
     };
     if args.plan {
         for seed in seeds {
@@ -89,33 +91,33 @@
         }
         return Ok(true);
     }
-    let node = program(args.node)?;
-    let places = Arc::new(Semaphore::new(args.jobs.max(1)));
+    let node = find_program(args.node)?;
+    let permits = Arc::new(Semaphore::new(args.jobs.max(1)));
     let plays: Vec<_> = seeds
         .into_iter()
         .map(|seed| {
-            let (node, places, sabotage) = (node.clone(), places.clone(), args.sabotage);
+            let (node, permits, sabotage) = (node.clone(), permits.clone(), args.sabotage);
             smol::spawn(async move {
-                let _place = places.acquire().await;
+                let _permit = permits.acquire().await;
                 let verdict = play::play(&node, seed, &size, sabotage).await;
                 verdict.inspect(print)
             })
         })
         .collect();
-    let mut kept = true;
+    let mut is_clean = true;
     for play in plays {
-        kept &= play.await?.violations.is_empty();
+        is_clean &= play.await?.violations.is_empty();
     }
-    Ok(kept)
+    Ok(is_clean)
 }
 
-/// The seeds that ever failed; each stands at the beginning of a line.
-fn kept() -> impl Iterator<Item = u64> {
-    KEPT.lines().filter_map(|line| line.split_whitespace().next()?.parse().ok())
+/// Returns the seeds of `seeds.txt`; each stands at the beginning of a line.
+fn kept_seeds() -> impl Iterator<Item = u64> {
+    KEPT_SEEDS.lines().filter_map(|line| line.split_whitespace().next()?.parse().ok())
 }
 
-/// Seeds one after the other.
-fn drawn(first: Option<u64>, count: u64) -> Vec<u64> {
+/// Returns `count` seeds from `first` on, or from a random one.
+fn consecutive_seeds(first: Option<u64>, count: u64) -> Vec<u64> {
     let first = first.unwrap_or_else(|| u64::from(rand::random::<u32>()));
     (first..first + count).collect()
 }
@@ -132,7 +134,7 @@
     }
 }
 
-fn program(given: Option<PathBuf>) -> Result<PathBuf, Error> {
+fn find_program(given: Option<PathBuf>) -> Result<PathBuf, Error> {
     let path = match given {
         Some(path) => path,
         None => std::env::current_exe()?.with_file_name("primrosestep-node"),
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed decides: which faults come when.
+//! Derives the faults of a play and their times from a seed.
 
 use derive_more::Display;
 use rand::{Rng, SeedableRng, seq::IndexedRandom};
@@ -8,33 +8,34 @@
 /// Size and length of a play.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Entries, each a process.
+    /// Number of entries, each a process.
     pub entries: usize,
-    /// Executors.
+    /// Number of executors.
     pub executors: usize,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     pub callers: usize,
-    /// For how long faults begin.
+    /// Length of the time in which faults begin.
     pub faults_for: Duration,
 }
 
 impl Default for Size {
-    /// A small site: a few processes, enough callers for two thirds of its executors.
+    /// Returns a small site: a few processes, and enough callers to load two thirds of the
+    /// executors.
     fn default() -> Self {
         Size { entries: 4, executors: 12, callers: 24, faults_for: Duration::from_secs(14) }
     }
 }
 
-/// Something that happens to the site.
+/// A fault, with the index of the entry or executor that it affects.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Fault {
-    /// To an entry or what stands around it.
+    /// Affects an entry or its connections.
     #[display("entry {_0} {_1}")]
     Entry(usize, EntryFault),
-    /// To an executor or what stands in front of it.
+    /// Affects an executor or the connections to it.
     #[display("executor {_0} {_1}")]
     Executor(usize, ExecutorFault),
-    /// To the store.
+    /// Affects the store.
     #[display("the store {_0}")]
     Store(StoreFault),
     /// The operator writes another configuration.
@@ -42,16 +43,16 @@
     Configure,
 }
 
-/// What happens to an entry.
+/// Fault of an entry.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum EntryFault {
     /// Its process is killed and another one started.
     #[display("is killed")]
     Kill,
-    /// Its process stands still.
-    #[display("stands still")]
+    /// Its process is suspended.
+    #[display("is suspended")]
     Freeze,
-    /// Its process is told to stop, and another one started once it has.
+    /// Its process gets SIGTERM, and another one is started once it has ended.
     #[display("is told to stop")]
     Terminate,
     /// The callers' connections are reset.
@@ -60,62 +61,62 @@
     /// It and its peers can't reach each other.
     #[display("is cut off from its peers")]
     CutPeers,
-    /// What its peers send over their connections is lost, but none of its answers.
-    #[display("does not hear its peers")]
+    /// Datagrams from its peers are lost, those to its peers are not.
+    #[display("receives nothing from its peers")]
     DeafenPeers,
-    /// What it and its peers send to each other takes longer.
-    #[display("is far from its peers")]
+    /// Datagrams between it and its peers are delayed.
+    #[display("has delayed connections to its peers")]
     SlowPeers,
     /// It can't reach the store.
     #[display("is cut off from the store")]
     CutStore,
-    /// What it asks of the store is done, and not answered.
-    #[display("gets no answers of the store")]
+    /// The store carries out its requests, but the responses are blocked.
+    #[display("gets no responses from the store")]
     LoseStoreAnswers,
 }
 
-/// What happens to an executor.
+/// Fault of an executor.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum ExecutorFault {
-    /// Orders are held back and come later.
+    /// Orders to it are blocked and arrive later.
     #[display("gets its orders late")]
     HoldOrders,
-    /// Its answers are held back and come later.
-    #[display("has its answers held back")]
+    /// Its responses are blocked and arrive later.
+    #[display("has its responses delayed")]
     HoldAnswers,
     /// The connections to it are reset.
     #[display("has its connections reset")]
     ResetOrders,
-    /// It neither acts nor answers.
-    #[display("is dark")]
+    /// It neither runs tasks nor responds.
+    #[display("is unresponsive")]
     Dark,
-    /// It fails all that it starts.
+    /// It fails all tasks that it starts.
     #[display("fails everything")]
     Fail,
-    /// It takes several times as long.
+    /// Its tasks take several times as long.
     #[display("is slow")]
     Drag,
-    /// It is to be emptied.
-    #[display("is to be emptied")]
+    /// It is marked as leaving.
+    #[display("is leaving")]
     Leave,
 }
 
-/// What happens to the store.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It refuses all calls.
+    /// It rejects all requests.
     #[display("is busy")]
     Busy,
-    /// It does not answer.
-    #[display("is silent")]
+    /// It does not respond.
+    #[display("is unresponsive")]
     Silent,
-    /// It forgets its history.
+    /// It loses its history of changes, so that clients have to list its keys again.
     #[display("forgets its history")]
     Forget,
 }
 
 impl Fault {
-    /// Whether it is planned work, which may cost no caller anything.
+    /// Returns whether it is planned work, which must not affect any caller.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
@@ -126,43 +127,43 @@
     }
 }
 
-/// A fault at its moment.
+/// A fault with its time.
 #[derive(Clone, Copy, Debug, Display)]
-#[display("{:6.2} s, for {:4.2} s: {fault}", at.as_secs_f64(), lasts.as_secs_f64())]
+#[display("{:6.2} s, for {:4.2} s: {fault}", at.as_secs_f64(), duration.as_secs_f64())]
 pub struct Step {
-    /// Time since the site was ready.
+    /// Time from the end of the warm-up until it begins.
     pub at: Duration,
-    /// How long it lasts, where it lasts.
-    pub lasts: Duration,
-    /// What.
+    /// How long it lasts; without effect on faults that are over at once.
+    pub duration: Duration,
+    /// Kind of fault and its target.
     pub fault: Fault,
 }
 
-/// Series of faults in a play.
-const SERIES: std::ops::RangeInclusive<usize> = 2..=5;
+/// Number of series of faults in a play.
+const SERIES_COUNT: std::ops::RangeInclusive<usize> = 2..=5;
 
-/// Steps of one series.
+/// Number of steps of one series.
 const SERIES_LENGTH: std::ops::RangeInclusive<usize> = 1..=4;
 
-/// Milliseconds from one step of a series to the next.
+/// Time in milliseconds from one step of a series to the next.
 const SERIES_GAP_MS: std::ops::RangeInclusive<u64> = 20..=2_500;
 
-/// Milliseconds that a fault lasts.
-const LASTS_MS: std::ops::RangeInclusive<u64> = 150..=4_000;
+/// Duration of a fault in milliseconds.
+const DURATION_MS: std::ops::RangeInclusive<u64> = 150..=4_000;
 
-/// One play in this many has planned work only.
-const PLANNED_ONLY: u32 = 4;
+/// One play in this many has planned faults only.
+const PLANNED_ONLY_ONE_IN: u32 = 4;
 
-/// The steps that a seed decides, in order.
+/// Returns the steps of a seed, in order of time.
 pub fn plan(seed: u64, size: &Size) -> Vec<Step> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let planned_only = random.random_ratio(1, PLANNED_ONLY);
+    let planned_only = random.random_ratio(1, PLANNED_ONLY_ONE_IN);
     let mut steps = Vec::new();
-    for _ in 0..random.random_range(SERIES) {
-        series(&mut random, size, planned_only, &mut steps);
+    for _ in 0..random.random_range(SERIES_COUNT) {
+        push_series(&mut random, size, planned_only, &mut steps);
     }
     steps.sort_by_key(|step| step.at);
-    // A third of the executors may leave, so that the others carry the load.
+    // At most a third of the executors may leave, so that the others can carry the load.
     let mut left = 0;
     steps.retain(|step| {
         let leaves = matches!(step.fault, Fault::Executor(_, ExecutorFault::Leave));
@@ -172,26 +173,26 @@
     steps
 }
 
-fn series(random: &mut ChaCha8Rng, size: &Size, planned_only: bool, steps: &mut Vec<Step>) {
+fn push_series(random: &mut ChaCha8Rng, size: &Size, planned_only: bool, steps: &mut Vec<Step>) {
     let mut at = Duration::from_millis(random.random_range(0..size.faults_for.as_millis() as u64));
-    let kind = draw(random, size, planned_only);
+    let kind = draw_fault(random, size, planned_only);
     for _ in 0..random.random_range(SERIES_LENGTH) {
-        let lasts = Duration::from_millis(random.random_range(LASTS_MS));
-        let fault = aim(kind, Place::draw(random, size));
-        steps.push(Step { at, lasts, fault });
+        let duration = Duration::from_millis(random.random_range(DURATION_MS));
+        let fault = retarget(kind, Target::draw(random, size));
+        steps.push(Step { at, duration, fault });
         at += Duration::from_millis(random.random_range(SERIES_GAP_MS));
     }
 }
 
-/// Planned work.
-const PLANNED: [Fault; 3] = [
+/// Faults that an operator causes on purpose. The index is a placeholder.
+const PLANNED_FAULTS: [Fault; 3] = [
     Fault::Entry(0, EntryFault::Terminate),
     Fault::Configure,
     Fault::Executor(0, ExecutorFault::Leave),
 ];
 
-/// Everything else.
-const UNPLANNED: [Fault; 17] = [
+/// All other faults. The index is a placeholder.
+const UNPLANNED_FAULTS: [Fault; 17] = [
     Fault::Entry(0, EntryFault::Kill),
     Fault::Entry(0, EntryFault::Freeze),
     Fault::Entry(0, EntryFault::ResetCallers),
@@ -211,14 +212,14 @@
     Fault::Executor(0, ExecutorFault::Drag),
 ];
 
-/// Which entry and executor a fault concerns.
+/// Entry and executor that a fault affects.
 #[derive(Clone, Copy)]
-struct Place {
+struct Target {
     entry: usize,
     executor: usize,
 }
 
-impl Place {
+impl Target {
     fn draw(random: &mut ChaCha8Rng, size: &Size) -> Self {
         Self {
             entry: random.random_range(0..size.entries),
@@ -227,20 +228,20 @@
     }
 }
 
-fn draw(random: &mut ChaCha8Rng, size: &Size, planned_only: bool) -> Fault {
-    let place = Place::draw(random, size);
+fn draw_fault(random: &mut ChaCha8Rng, size: &Size, planned_only: bool) -> Fault {
+    let target = Target::draw(random, size);
     let kinds: Vec<Fault> = match planned_only {
-        true => PLANNED.to_vec(),
-        false => PLANNED.into_iter().chain(UNPLANNED).collect(),
+        true => PLANNED_FAULTS.to_vec(),
+        false => PLANNED_FAULTS.into_iter().chain(UNPLANNED_FAULTS).collect(),
     };
-    aim(*kinds.choose(random).unwrap_or(&Fault::Configure), place)
+    retarget(*kinds.choose(random).unwrap_or(&Fault::Configure), target)
 }
 
-/// The same fault elsewhere.
-fn aim(fault: Fault, place: Place) -> Fault {
+/// Returns the same fault with another target.
+fn retarget(fault: Fault, target: Target) -> Fault {
     match fault {
-        Fault::Entry(_, what) => Fault::Entry(place.entry, what),
-        Fault::Executor(_, what) => Fault::Executor(place.executor, what),
+        Fault::Entry(_, what) => Fault::Entry(target.entry, what),
+        Fault::Executor(_, what) => Fault::Executor(target.executor, what),
         Fault::Store(_) | Fault::Configure => fault,
     }
 }
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -1,4 +1,5 @@
-//! One play: a site, its callers, the faults that a seed decides, and the verdict.
+//! Carries out one play: starts a site and its callers, injects the faults of a seed, and checks
+//! the guarantees.
 
 use crate::{
     Error,
@@ -7,7 +8,7 @@
     history::{History, Outcome, Record},
     inject::Injector,
     plan::{self, Size, Step},
-    sabotage::{Rogue, Sabotage},
+    sabotage::{FaultyServer, Sabotage},
     site::Site,
     watch,
 };
@@ -24,48 +25,49 @@
     time::{Duration, Instant},
 };
 
-/// Time of usual work before the first fault.
+/// Time without faults before the first one.
 const WARM_UP: Duration = Duration::from_millis(1_000);
 
-/// Time from the last fault's end until service has to be back. Half of what the platform allows.
-const HEALING: Duration = Duration::from_secs(6);
+/// Time from the end of the last fault until jobs have to be completed again. Half of what the
+/// platform allows.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-/// Time of usual work after that.
-const CALM: Duration = Duration::from_secs(4);
+/// Time after recovery during which jobs are still submitted.
+const POST_RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Time from the last caller's end until nothing may run any more: a lease at its longest, and
-/// the slowest executor clock.
-const REST: Duration = Duration::from_millis(1_500);
+/// Time from the end of the last caller until no task may run: the longest lease, by the slowest
+/// executor clock.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// What came of a play.
+/// Result of a play.
 #[derive(Debug, Display)]
 #[display(
-    "seed {seed}: {} jobs, {completed} completed, {refused} refused, {given_up} given up, {broke} broke off; \
-     {} steps, {} broken",
+    "seed {seed}: {} jobs, {completed} completed, {refused} refused, {given_up} given up, {disconnected} disconnected; \
+     {} faults, {} violations",
     jobs, steps.len(), violations.len()
 )]
 pub struct Verdict {
-    /// The seed.
+    /// Seed of the play.
     pub seed: u64,
-    /// Jobs that were handed in.
+    /// Number of jobs that were submitted.
     pub jobs: usize,
-    /// Attempts that were answered as completed.
+    /// Number of attempts that were answered as completed.
     pub completed: usize,
-    /// Attempts that were refused.
+    /// Number of attempts that were refused.
     pub refused: usize,
-    /// Attempts that were given up, or failed.
+    /// Number of attempts that were given up or failed.
     pub given_up: usize,
-    /// Attempts whose connections ended without an answer.
-    pub broke: usize,
-    /// The faults.
+    /// Number of attempts that ended without an answer: connection lost or timeout.
+    pub disconnected: usize,
+    /// Faults that were injected.
     pub steps: Vec<Step>,
-    /// The promises that were not kept.
+    /// Guarantees that were violated.
     pub violations: Vec<Violation>,
-    /// Where the logs are, if any was not kept.
+    /// Folder with the logs; `None` if there was no violation.
     pub logs: Option<PathBuf>,
 }
 
-/// Plays a seed with the program of an entry.
+/// Carries out the play of a seed, with `program` as the executable of the entries.
 ///
 /// # Errors
 ///
@@ -78,10 +80,10 @@
 ) -> Result<Verdict, Error> {
     let site = Arc::new(Site::start(program, size).await?);
     let verdict = play_at(&site, seed, size, sabotage).await;
-    site.end().await?;
+    site.kill_entries().await?;
     let verdict = verdict?;
     if verdict.violations.is_empty() {
-        site.clear()?;
+        site.remove_logs()?;
     }
     Ok(verdict)
 }
@@ -97,45 +99,45 @@
     let version = AtomicU64::new(1);
     let injector = Arc::new(Injector { site: site.clone(), history: history.clone(), version });
     let mut entries: Vec<_> = site.nodes.iter().map(|node| node.callers.address).collect();
-    let rogue = match sabotage {
-        Some(sabotage) => Some(Rogue::start(sabotage, site).await?),
+    let faulty_server = match sabotage {
+        Some(sabotage) => Some(FaultyServer::start(sabotage, site).await?),
         None => None,
     };
-    if let Some(rogue) = &rogue {
-        entries[0] = rogue.address;
+    if let Some(faulty_server) = &faulty_server {
+        entries[0] = faulty_server.address;
     }
     let stop = AtomicBool::new(false);
     let shared = Arc::new(Shared { entries, history: history.clone(), stop });
-    let callers = call(&shared, seed, size);
-    let watching = watch(&injector, &shared);
+    let callers = start_callers(&shared, seed, size);
+    let observers = start_observers(&injector, &shared);
     Timer::after(WARM_UP).await;
     inject(&injector, &steps).await?;
-    let healed = Instant::now() + HEALING;
-    Timer::at(healed + CALM).await;
+    let recovered_at = Instant::now() + RECOVERY_TIME;
+    Timer::at(recovered_at + POST_RECOVERY_TIME).await;
     shared.stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await;
     }
-    Timer::after(REST).await;
-    drop(watching);
+    Timer::after(SETTLE_TIME).await;
+    drop(observers);
     let record = history.record();
-    let mut read = site.read().await?;
-    if let Some(rogue) = &rogue {
-        read[0].extend(rogue.read());
+    let mut read = site.read_requests().await?;
+    if let Some(faulty_server) = &faulty_server {
+        read[0].extend(faulty_server.read());
     }
-    let violations = judge(site, &record, healed, &read);
+    let violations = find_violations(site, &record, recovered_at, &read);
     let logs = (!violations.is_empty()).then(|| site.folder().to_owned());
-    Ok(verdict(seed, &record, steps, violations, logs))
+    Ok(summarize(seed, &record, steps, violations, logs))
 }
 
-/// Lets all callers begin.
-fn call(shared: &Arc<Shared>, seed: u64, size: &Size) -> Vec<Task<()>> {
+/// Starts all callers.
+fn start_callers(shared: &Arc<Shared>, seed: u64, size: &Size) -> Vec<Task<()>> {
     let numbers = 1..=size.callers as u64;
     numbers.map(|number| smol::spawn(caller::run(shared.clone(), seed, number))).collect()
 }
 
-/// Begins to watch, until the tasks are dropped.
-fn watch(injector: &Arc<Injector>, shared: &Shared) -> Vec<Task<()>> {
+/// Starts the observers, which stop when the tasks are dropped.
+fn start_observers(injector: &Arc<Injector>, shared: &Shared) -> Vec<Task<()>> {
     let runs = watch::runs(injector.site.clone(), injector.history.clone());
     let entries = shared.entries.iter().enumerate();
     let configuration = entries.map(|(entry, address)| {
@@ -144,7 +146,7 @@
     iter::once(smol::spawn(runs)).chain(configuration).collect()
 }
 
-/// Carries all steps out, each at its moment, and waits until all are over.
+/// Injects all faults, each at its time, and waits until all are over.
 async fn inject(injector: &Arc<Injector>, steps: &[Step]) -> Result<(), Error> {
     let begun = Instant::now();
     let injections: Vec<_> = steps
@@ -163,10 +165,10 @@
     Ok(())
 }
 
-fn judge(
+fn find_violations(
     site: &Site,
     record: &Record,
-    healed: Instant,
+    recovered_at: Instant,
     read: &[HashSet<String>],
 ) -> Vec<Violation> {
     let workers = site.workers.iter();
@@ -177,14 +179,14 @@
         record,
         twice: &site.twice,
         begun: site.begun,
-        healed,
+        recovered_at,
         executors: &executors,
         read,
         left_over: &left_over,
     })
 }
 
-fn verdict(
+fn summarize(
     seed: u64,
     record: &Record,
     steps: Vec<Step>,
@@ -193,16 +195,16 @@
 ) -> Verdict {
     let ends = || {
         let attempts = record.jobs.values().flat_map(|job| &job.attempts);
-        attempts.filter_map(|attempt| attempt.end.map(|(_, how)| how))
+        attempts.filter_map(|attempt| attempt.end.map(|(_, outcome)| outcome))
     };
     let count = |matches: fn(&Outcome) -> bool| ends().filter(matches).count();
     Verdict {
         seed,
         jobs: record.jobs.len(),
-        completed: count(|how| *how == Outcome::Completed),
-        refused: count(|how| *how == Outcome::Refused),
-        given_up: count(|how| matches!(how, Outcome::GivenUp | Outcome::Failed)),
-        broke: count(|how| matches!(how, Outcome::Broken | Outcome::TimedOut)),
+        completed: count(|outcome| *outcome == Outcome::Completed),
+        refused: count(|outcome| *outcome == Outcome::Refused),
+        given_up: count(|outcome| matches!(outcome, Outcome::GivenUp | Outcome::Failed)),
+        disconnected: count(|outcome| matches!(outcome, Outcome::Disconnected | Outcome::TimedOut)),
         steps,
         violations,
         logs,
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that delays, holds back, refuses or resets what passes it.
+//! TCP proxy on loopback that forwards, delays, blocks or resets connections.
 
 use event_listener::Event;
 use parking_lot::Mutex;
@@ -10,34 +10,34 @@
 };
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
-/// Bytes that are passed on at a time.
-const CHUNK: usize = 16 << 10;
+/// Most bytes that are forwarded at a time.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// What happens to the bytes of one direction.
+/// How the bytes of one direction are forwarded.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Way {
-    /// They pass.
+pub enum Forwarding {
+    /// At once.
     #[default]
-    Open,
-    /// They pass after a time.
-    Slow(Duration),
-    /// They are held back until this changes.
-    Silent,
+    Immediate,
+    /// After a delay.
+    Delayed(Duration),
+    /// Not until the mode changes; a UDP relay drops them.
+    Blocked,
 }
 
-/// What a proxy does.
+/// How a proxy forwards each direction.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Mode {
-    /// From the side that connects.
-    pub there: Way,
-    /// From the side that is connected to.
-    pub back: Way,
+    /// From the side that connects to the target.
+    pub to_target: Forwarding,
+    /// From the target to the side that connects.
+    pub from_target: Forwarding,
 }
 
 /// A running proxy. Stops when it is dropped.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _accepting: Task<()>,
@@ -53,15 +53,15 @@
 #[derive(Debug, Default)]
 struct State {
     mode: Mode,
-    /// Connections that began under an earlier number are reset.
+    /// Connections that were accepted under a lower number are reset.
     generation: u64,
 }
 
-/// Which side a direction begins at.
+/// Direction of the bytes of a connection.
 #[derive(Clone, Copy)]
-enum Side {
-    Connecting,
-    Connected,
+enum Direction {
+    ToTarget,
+    FromTarget,
 }
 
 impl Proxy {
@@ -79,13 +79,13 @@
         Ok(Proxy { address, shared, _accepting: accepting })
     }
 
-    /// Changes what the proxy does, also to open connections.
+    /// Changes the mode, for open connections too.
     pub fn set(&self, mode: Mode) {
         self.shared.state.lock().mode = mode;
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.shared.state.lock().generation += 1;
         self.shared.changed.notify(usize::MAX);
@@ -93,24 +93,24 @@
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    // Fails only when descriptors run out; the connections that are open go on.
+    // Fails only when file descriptors run out; open connections are not affected.
     while let Ok((stream, _)) = listener.accept().await {
-        smol::spawn(carry(stream, shared.clone())).detach();
+        smol::spawn(forward_connection(stream, shared.clone())).detach();
     }
 }
 
-/// Carries one connection until an end closes it or it is reset.
-async fn carry(near: TcpStream, shared: Arc<Shared>) {
+/// Forwards one connection until both ends have closed it or it is reset.
+async fn forward_connection(near: TcpStream, shared: Arc<Shared>) {
     let generation = shared.state.lock().generation;
     let Ok(far) = TcpStream::connect(shared.target).await else {
         return reset(&[&near]);
     };
-    let there = pump(near.clone(), far.clone(), Side::Connecting, &shared);
-    let back = pump(far.clone(), near.clone(), Side::Connected, &shared);
-    // An end may close its direction and still read; an error ends both.
+    let there = forward(near.clone(), far.clone(), Direction::ToTarget, &shared);
+    let back = forward(far.clone(), near.clone(), Direction::FromTarget, &shared);
+    // An end may close its direction and still read; an error ends both directions.
     let both = async { smol::future::try_zip(there, back).await.map(drop) };
     let ended = async {
-        shared.until(|state| state.generation != generation).await;
+        shared.wait_until(|state| state.generation != generation).await;
         Err(io::ErrorKind::ConnectionReset.into())
     };
     if both.or(ended).await.is_err() {
@@ -118,17 +118,17 @@
     }
 }
 
-/// Passes the bytes of one direction on, and its end.
-async fn pump(
+/// Forwards the bytes of one direction and its end.
+async fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
-    side: Side,
+    direction: Direction,
     shared: &Shared,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let count = from.read(&mut buffer).await?;
-        shared.let_pass(side).await;
+        shared.wait_to_forward(direction).await;
         if count == 0 {
             return to.shutdown(std::net::Shutdown::Write);
         }
@@ -136,29 +136,31 @@
     }
 }
 
-/// Makes the close of these connections a reset.
+/// Makes these connections close with a TCP reset, by a linger time of zero.
 fn reset(streams: &[&TcpStream]) {
     for stream in streams {
-        // Fails only for a connection that is closed already.
+        // Fails only for a connection that is already closed.
         let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
     }
 }
 
 impl Shared {
-    async fn let_pass(&self, side: Side) {
-        let way = |state: &State| match side {
-            Side::Connecting => state.mode.there,
-            Side::Connected => state.mode.back,
+    async fn wait_to_forward(&self, direction: Direction) {
+        let forwarding = |state: &State| match direction {
+            Direction::ToTarget => state.mode.to_target,
+            Direction::FromTarget => state.mode.from_target,
         };
-        let now = way(&self.state.lock());
+        let now = forwarding(&self.state.lock());
         match now {
-            Way::Open => {}
-            Way::Slow(delay) => drop(Timer::after(delay).await),
-            Way::Silent => self.until(|state| way(state) != Way::Silent).await,
+            Forwarding::Immediate => {}
+            Forwarding::Delayed(delay) => drop(Timer::after(delay).await),
+            Forwarding::Blocked => {
+                self.wait_until(|state| forwarding(state) != Forwarding::Blocked).await
+            }
         }
     }
 
-    async fn until(&self, holds: impl Fn(&State) -> bool) {
+    async fn wait_until(&self, holds: impl Fn(&State) -> bool) {
         loop {
             let changed = self.changed.listen();
             if holds(&self.state.lock()) {
--- a/soak/src/relay.rs
+++ b/soak/src/relay.rs
@@ -1,17 +1,17 @@
-//! A UDP relay on loopback in front of one entry, for the connections of its peers.
+//! UDP relay on loopback that stands between one entry and its peers.
 
-use crate::proxy::{Mode, Way};
+use crate::proxy::{Forwarding, Mode};
 use parking_lot::Mutex;
 use smol::{Task, Timer, net::UdpSocket};
 use std::{collections::HashMap, io, net::SocketAddr, sync::Arc};
 
-/// Largest datagram.
-const DATAGRAM: usize = 64 << 10;
+/// Largest datagram that is forwarded.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 /// A running relay. Stops when it is dropped.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _receiving: Task<()>,
@@ -24,7 +24,7 @@
     mode: Mutex<Mode>,
 }
 
-/// One peer, as the entry behind the relay sees it.
+/// The socket that stands for one peer towards the entry.
 struct Peer {
     socket: UdpSocket,
     _returning: Task<()>,
@@ -44,53 +44,54 @@
         Ok(Relay { address, shared, _receiving: receiving })
     }
 
-    /// Changes what becomes of datagrams. What is not let through is lost.
+    /// Changes how datagrams are forwarded. Blocked datagrams are lost.
     pub fn set(&self, mode: Mode) {
         *self.shared.mode.lock() = mode;
     }
 }
 
-/// Passes on what the peers send.
+/// Forwards datagrams from the peers to the entry.
 async fn receive(shared: Arc<Shared>) {
     let mut peers: HashMap<SocketAddr, Peer> = HashMap::new();
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // A peer that is gone is told by an error of the next call, which concerns no other peer.
+        // The error of a datagram to a peer that has closed its socket is returned by the next
+        // call. It concerns no other peer.
         let Ok((count, from)) = shared.front.recv_from(&mut buffer).await else { continue };
-        let way = shared.mode.lock().there;
+        let forwarding = shared.mode.lock().to_target;
         if let std::collections::hash_map::Entry::Vacant(vacant) = peers.entry(from) {
             let Ok(peer) = Peer::new(shared.clone(), from).await else { continue };
             vacant.insert(peer);
         }
         let socket = peers[&from].socket.clone();
-        send(way, buffer[..count].to_vec(), socket, shared.target);
+        send(forwarding, buffer[..count].to_vec(), socket, shared.target);
     }
 }
 
 impl Peer {
     async fn new(shared: Arc<Shared>, peer: SocketAddr) -> io::Result<Peer> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
-        let returning = smol::spawn(give_back(shared, socket.clone(), peer));
+        let returning = smol::spawn(forward_to_peer(shared, socket.clone(), peer));
         Ok(Peer { socket, _returning: returning })
     }
 }
 
-/// Passes on what the entry sends to one peer.
-async fn give_back(shared: Arc<Shared>, socket: UdpSocket, peer: SocketAddr) {
-    let mut buffer = vec![0; DATAGRAM];
+/// Forwards datagrams from the entry to one peer.
+async fn forward_to_peer(shared: Arc<Shared>, socket: UdpSocket, peer: SocketAddr) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // As above: an entry that is down.
+        // As above, for an entry that is down.
         let Ok((count, _)) = socket.recv_from(&mut buffer).await else { continue };
-        let way = shared.mode.lock().back;
-        send(way, buffer[..count].to_vec(), shared.front.clone(), peer);
+        let forwarding = shared.mode.lock().from_target;
+        send(forwarding, buffer[..count].to_vec(), shared.front.clone(), peer);
     }
 }
 
-fn send(way: Way, datagram: Vec<u8>, socket: UdpSocket, to: SocketAddr) {
-    let delay = match way {
-        Way::Open => None,
-        Way::Slow(delay) => Some(delay),
-        Way::Silent => return,
+fn send(forwarding: Forwarding, datagram: Vec<u8>, socket: UdpSocket, to: SocketAddr) {
+    let delay = match forwarding {
+        Forwarding::Immediate => None,
+        Forwarding::Delayed(delay) => Some(delay),
+        Forwarding::Blocked => return,
     };
     let sending = async move {
         if let Some(delay) = delay {
--- a/soak/src/sabotage.rs
+++ b/soak/src/sabotage.rs
@@ -1,5 +1,5 @@
-//! Something that breaks one promise on purpose, to show that the checks find it: it takes the
-//! place of the first entry towards callers, and gives orders to executors on its own.
+//! A server that violates one guarantee on purpose, to show that the checks find it. It replaces
+//! the first entry towards callers, and sends orders to executors itself.
 
 use crate::{
     Error, document,
@@ -20,108 +20,111 @@
 use trillium::{Conn, Handler, Method, Status};
 use trillium_client::Method as ClientMethod;
 
-/// A fencing token above all that entries use.
-const TOKEN: u64 = u64::MAX >> 1;
+/// Fencing token above all that entries use.
+const HIGH_FENCING_TOKEN: u64 = u64::MAX >> 1;
 
-/// A time that no executor's clock reaches in a play. Leases are shortened to what is allowed.
-const NEVER: u64 = 1 << 40;
+/// Deadline that no executor's clock reaches in a play. Executors shorten leases to the longest
+/// that they allow.
+const FAR_DEADLINE_MS: u64 = 1 << 40;
 
-/// How often a rogue renews its lease.
-const RENEWAL: Duration = Duration::from_millis(300);
+/// How often the server renews its lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// For how long it does.
-const RENEWALS: u32 = 12;
+/// How many times it renews its lease.
+const RENEWAL_COUNT: u32 = 12;
 
-/// How long an order may take.
-const ORDER_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Which promise is broken.
+/// The guarantee that is violated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, clap::ValueEnum)]
 pub enum Sabotage {
     /// Starts each task at two executors.
     Twice,
     /// Starts a task of a job and refuses the job as not run.
     Refusal,
-    /// Says that a job is completed that has not run.
+    /// Answers a job that has not run as completed.
     Completion,
     /// Closes connections without an answer during a planned stop.
     Cut,
-    /// Does not answer.
+    /// Never answers.
     Silence,
-    /// Starts tasks at executors that leave.
+    /// Starts tasks at executors that are leaving.
     Leaving,
-    /// Knows the first configuration only.
+    /// Keeps the first configuration.
     Configuration,
-    /// Lets a run go on that nobody waits for.
+    /// Continues a run that no caller waits for.
     Unwanted,
 }
 
 impl Sabotage {
-    /// What happens meanwhile: only planned work.
+    /// Returns the faults during the play: planned ones only, since unplanned ones would excuse
+    /// violations.
     pub fn steps(self) -> Vec<Step> {
         let fault = match self {
             Sabotage::Cut => Fault::Entry(0, EntryFault::Terminate),
             Sabotage::Leaving => Fault::Executor(0, ExecutorFault::Leave),
             _ => Fault::Configure,
         };
-        vec![Step { at: Duration::ZERO, lasts: Duration::ZERO, fault }]
+        vec![Step { at: Duration::ZERO, duration: Duration::ZERO, fault }]
     }
 }
 
-/// A server that breaks a promise. Stops when it is dropped.
+/// A server that violates a guarantee. Stops when it is dropped.
 #[derive(Debug)]
-pub struct Rogue {
-    /// Where callers reach it.
+pub struct FaultyServer {
+    /// Address for callers.
     pub address: SocketAddr,
     read: Arc<Mutex<Vec<String>>>,
     _proxy: Arc<OnceLock<Proxy>>,
     _server: Loopback,
 }
 
-/// What the server answers with.
-struct Front {
+/// Handler of the server.
+struct FaultyHandler {
     sabotage: Sabotage,
     caller: Arc<RawClient>,
     executors: Vec<SocketAddr>,
-    /// Requests that were read, by their ids.
+    /// Ids of the requests that were read.
     read: Arc<Mutex<Vec<String>>>,
-    /// What callers come through, so that their connections can be reset.
+    /// Proxy in front of the server, so that callers' connections can be reset.
     proxy: Arc<OnceLock<Proxy>>,
 }
 
-impl Rogue {
+impl FaultyServer {
     /// Starts the server.
     ///
     /// # Errors
     ///
     /// When no port can be bound.
-    pub async fn start(sabotage: Sabotage, site: &Site) -> Result<Rogue, Error> {
+    pub async fn start(sabotage: Sabotage, site: &Site) -> Result<FaultyServer, Error> {
         let executors = site.workers.iter().map(|worker| worker.executor.address).collect();
         let caller = Arc::new(RawClient::new(8, Options::default()));
         let proxy = Arc::new(OnceLock::new());
         let read = Arc::new(Mutex::default());
-        let front = Front { sabotage, caller, executors, read: read.clone(), proxy: proxy.clone() };
-        let server = Loopback::start(front)?;
+        let handler =
+            FaultyHandler { sabotage, caller, executors, read: read.clone(), proxy: proxy.clone() };
+        let server = Loopback::start(handler)?;
         let started = Proxy::start(server.address).await?;
         let address = proxy.get_or_init(|| started).address;
-        Ok(Rogue { address, read, _proxy: proxy, _server: server })
+        Ok(FaultyServer { address, read, _proxy: proxy, _server: server })
     }
 
-    /// Requests that were read, by their ids.
+    /// Returns the ids of the requests that were read.
     pub fn read(&self) -> Vec<String> {
         self.read.lock().clone()
     }
 }
 
 #[trillium::async_trait]
-impl Handler for Front {
+impl Handler for FaultyHandler {
     async fn run(&self, mut conn: Conn) -> Conn {
         if conn.method() == Method::Get {
-            let first = conn.path() == document::marker(1);
-            let lies = self.sabotage == Sabotage::Configuration && first;
-            return conn.with_status(if lies { 200 } else { 404 }).halt();
+            let is_first = conn.path() == document::marker_path(1);
+            let shows_first = self.sabotage == Sabotage::Configuration && is_first;
+            return conn.with_status(if shows_first { 200 } else { 404 }).halt();
         }
-        let name = conn.path().trim_start_matches(document::JOBS).to_owned();
+        let name = conn.path().trim_start_matches(document::JOBS_PATH).to_owned();
         // A body that can't be read ends the connection anyway.
         let _ = conn.request_body_string().await;
         let request = conn.request_headers().get_str("Request-Id").unwrap_or_default();
@@ -133,7 +136,7 @@
                 conn.with_status(Status::ServiceUnavailable).halt()
             }
             Sabotage::Cut => {
-                Timer::after(ORDER_LIMIT).await;
+                Timer::after(ORDER_TIMEOUT).await;
                 self.proxy.get().into_iter().for_each(Proxy::reset);
                 smol::future::pending().await
             }
@@ -156,13 +159,13 @@
     }
 }
 
-impl Front {
-    /// Starts the first task of a job at these executors.
+impl FaultyHandler {
+    /// Starts the first task of a job at each of `executors`.
     async fn start(&self, executors: &[SocketAddr], name: &str, ms: u64) {
         let spec = json!({ "ms": ms, "cpu": 1 }).to_string();
         let start = json!({
             "task": format!("{name}.0.0.0"), "run": 1, "spec": spec,
-            "deadline_ms": NEVER, "fencing_token": TOKEN,
+            "deadline_ms": FAR_DEADLINE_MS, "fencing_token": HIGH_FENCING_TOKEN,
         });
         for executor in executors {
             order(&self.caller, *executor, "/-/run-start", &start).await;
@@ -171,21 +174,21 @@
 }
 
 async fn renew(caller: Arc<RawClient>, executor: SocketAddr) {
-    let hold = json!({ "deadline_ms": NEVER, "fencing_token": TOKEN, "acked_upto": 0 });
-    for _ in 0..RENEWALS {
+    let hold = json!({ "deadline_ms": FAR_DEADLINE_MS, "fencing_token": HIGH_FENCING_TOKEN, "acked_upto": 0 });
+    for _ in 0..RENEWAL_COUNT {
         order(&caller, executor, "/-/hold", &hold).await;
-        Timer::after(RENEWAL).await;
+        Timer::after(RENEWAL_INTERVAL).await;
     }
 }
 
 async fn order(caller: &RawClient, executor: SocketAddr, path: &str, body: &Value) {
-    let ask = RawRequest {
+    let request = RawRequest {
         method: ClientMethod::Post,
         path: path.to_owned(),
         headers: Vec::new(),
         body: body.to_string().into(),
-        time_limit: ORDER_LIMIT,
+        time_limit: ORDER_TIMEOUT,
     };
-    // What is refused breaks nothing, and the checks tell what was broken.
-    let _ = caller.send(executor, ask).await;
+    // A refused order violates nothing, and the checks report what was violated.
+    let _ = caller.send(executor, request).await;
 }
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The site of a play: entries behind proxies, stand-ins for all else.
+//! The site of a play: entries behind proxies, and stand-ins for the store and the executors.
 
 use crate::{
     Error,
@@ -28,57 +28,58 @@
 };
 use trillium_client::Method;
 
-/// Longest wait until all entries are ready. No promise: a busy machine starts them slowly.
-const READY_LIMIT: Duration = Duration::from_secs(60);
+/// Longest wait until all entries are ready. Not a guarantee of the entries: a busy host starts
+/// them slowly.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long an entry may take to say whether it is.
-const READY_ANSWER: Duration = Duration::from_secs(2);
+/// Timeout of a readiness request.
+const READY_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often that is asked.
-const READY_POLL: Duration = Duration::from_millis(20);
+/// How often readiness is requested.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Data centres that entries and executors are spread over.
 const DATA_CENTRES: [&str; 2] = ["a", "b"];
 
-/// Tells the folders of plays in one process apart.
-static PLAYS: AtomicU64 = AtomicU64::new(0);
+/// Number of the next play in this process; makes the folder names unique.
+static NEXT_PLAY: AtomicU64 = AtomicU64::new(0);
 
-/// An entry and what stands around it.
+/// An entry and the proxies around it.
 #[derive(Debug)]
 pub struct Node {
-    /// The process.
+    /// The process; a fault locks it.
     pub entry: Mutex<Entry>,
-    /// Where its readiness is asked for.
+    /// Address of the readiness check.
     pub readiness: SocketAddr,
-    /// Between callers and the entry.
+    /// Proxy between callers and the entry.
     pub callers: Proxy,
-    /// Between its peers and the entry.
+    /// Relay between its peers and the entry.
     pub peers: Relay,
-    /// Between the entry and the store.
+    /// Proxy between the entry and the store.
     pub store: Proxy,
 }
 
-/// An executor and what stands in front of it.
+/// An executor and the proxy in front of it.
 #[derive(Debug)]
 pub struct Worker {
-    /// The stand-in.
+    /// Stand-in of the executor.
     pub executor: Executor,
-    /// Between entries and the executor.
+    /// Proxy between entries and the executor.
     pub orders: Proxy,
 }
 
-/// Everything of a play.
+/// All processes and stand-ins of a play.
 #[derive(Debug)]
 pub struct Site {
-    /// The store.
+    /// Stand-in of the store.
     pub store: Store,
-    /// The executors.
+    /// Executors by index.
     pub workers: Vec<Worker>,
-    /// The entries.
+    /// Entries by index.
     pub nodes: Vec<Node>,
-    /// What the executors have begun.
+    /// Runs that the executors have started, shared to detect concurrent runs of a task.
     pub twice: Arc<Twice>,
-    /// The time from which executors count.
+    /// The origin of the executors' clocks.
     pub begun: Instant,
     folder: PathBuf,
 }
@@ -88,10 +89,10 @@
     ///
     /// # Errors
     ///
-    /// When a file, a port or the program can't be used, or an entry does not get ready.
+    /// When a file, a port or the program can't be used, or an entry is not ready in time.
     pub async fn start(program: &Path, size: &Size) -> Result<Site, Error> {
         let begun = Instant::now();
-        let number = PLAYS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_PLAY.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("soak-{}-{number}", std::process::id()));
         fs::create_dir_all(&folder)?;
         let store = Store::start()?;
@@ -106,12 +107,12 @@
         }
         let site = Site { store, workers, nodes, twice, begun, folder };
         (0..size.executors).for_each(|index| site.register(index, false));
-        site.store.put("op/config", &document::config(1, document::PATIENCE_MS));
+        site.store.put("op/config", &document::config(1, document::CALLER_TIMEOUT_MS));
         site.wait_ready().await?;
         Ok(site)
     }
 
-    /// Writes an executor's entry, as the executor does.
+    /// Writes an executor's registration to the store, as the executor does.
     pub fn register(&self, index: usize, leaves: bool) {
         let Worker { executor, orders } = &self.workers[index];
         let data_centre = data_centre(index);
@@ -119,24 +120,25 @@
         self.store.put(&format!("servers/{}", executor.name), &entry);
     }
 
-    /// Ends all entries. Whatever still refers to the site may outlive its play.
+    /// Kills all entries. This is explicit because tasks may hold references to the site after its
+    /// play.
     ///
     /// # Errors
     ///
     /// When a process can't be ended.
-    pub async fn end(&self) -> Result<(), Error> {
+    pub async fn kill_entries(&self) -> Result<(), Error> {
         for node in &self.nodes {
             node.entry.lock().await.kill()?;
         }
         Ok(())
     }
 
-    /// Requests that each entry has read, by their ids, as its log says.
+    /// Returns the ids of the requests that each entry has read, from its log.
     ///
     /// # Errors
     ///
     /// When a log can't be read.
-    pub async fn read(&self) -> Result<Vec<HashSet<String>>, Error> {
+    pub async fn read_requests(&self) -> Result<Vec<HashSet<String>>, Error> {
         let mut read = Vec::new();
         for node in &self.nodes {
             let log = node.entry.lock().await.log()?;
@@ -145,29 +147,29 @@
         Ok(read)
     }
 
-    /// Where the logs are.
+    /// Returns the folder with settings and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Removes the logs.
+    /// Removes the folder with settings and logs.
     ///
     /// # Errors
     ///
     /// When a file can't be removed.
-    pub fn clear(&self) -> Result<(), Error> {
+    pub fn remove_logs(&self) -> Result<(), Error> {
         Ok(fs::remove_dir_all(&self.folder)?)
     }
 
     async fn wait_ready(&self) -> Result<(), Error> {
         let caller = RawClient::new(1, Options::default());
-        let until = Instant::now() + READY_LIMIT;
+        let until = Instant::now() + READY_TIMEOUT;
         for node in &self.nodes {
             while !is_ready(&caller, node.readiness).await {
                 if Instant::now() > until {
                     return Err(Error::NotReady { folder: self.folder.clone() });
                 }
-                Timer::after(READY_POLL).await;
+                Timer::after(READY_POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -201,9 +203,9 @@
     }
 }
 
-/// The request that a line of a log says was taken in.
+/// Returns the id of the request that a log line reports as admitted.
 fn admitted(line: &str) -> Option<String> {
-    // Lines of other libraries need not be JSON.
+    // Lines of other libraries may not be JSON.
     let line: Value = serde_json::from_str(line).ok()?;
     (line["decision"] == "admit").then(|| line["request"].as_str().map(str::to_owned))?
 }
@@ -213,12 +215,12 @@
 }
 
 async fn is_ready(caller: &RawClient, address: SocketAddr) -> bool {
-    let ask = RawRequest {
+    let request = RawRequest {
         method: Method::Get,
         path: "/-/readiness".to_owned(),
         headers: Vec::new(),
         body: Vec::new().into(),
-        time_limit: READY_ANSWER,
+        time_limit: READY_RESPONSE_TIMEOUT,
     };
-    caller.send(address, ask).await.is_ok_and(|reply| reply.status == 200)
+    caller.send(address, request).await.is_ok_and(|reply| reply.status == 200)
 }
