--- a/capacity/src/cli.rs
+++ b/capacity/src/cli.rs
@@ -2,18 +2,18 @@
 
 use clap::{Parser, Subcommand};
 
-/// Measures slopes and works capacity out from them.
+/// Measures the costs of an entry and computes its capacity from them.
 #[derive(Debug, Parser)]
 pub(crate) struct Cli {
     #[command(subcommand)]
     pub(crate) command: Command,
 }
 
-/// What to do.
+/// Subcommand to run.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Measure, and print one JSON document a line.
+    /// Measure, and print one JSON document per line.
     Slopes,
-    /// Read what `slopes` printed from the standard input, and print docs/CAPACITY.md.
+    /// Read the output of `slopes` from standard input, and print docs/CAPACITY.md.
     Page,
 }
--- a/capacity/src/cmd/page.rs
+++ b/capacity/src/cmd/page.rs
@@ -1,4 +1,4 @@
-//! `capacity page`.
+//! The command `capacity page`, which renders the page from measurements on standard input.
 
 use capacity::{Error, Slopes, page};
 use std::io;
--- a/capacity/src/error.rs
+++ b/capacity/src/error.rs
@@ -1,63 +1,64 @@
-//! Why nothing was measured or worked out.
+//! The error type of the crate.
 
 use crate::{Probe, Quantity};
 use derive_more::{Display, Error, From};
 
-/// Why nothing was measured or worked out.
+/// Error of a measurement or of rendering the page.
 #[derive(Debug, Display, Error, From)]
 pub enum Error {
-    /// Reading or writing failed.
+    /// Reading or writing a file or stream failed.
     #[display("{_0}")]
     Io(std::io::Error),
-    /// A line is no measurement; print it with `capacity slopes`.
+    /// A line of the input is not a measurement as printed by `capacity slopes`.
     #[display("not a measurement: {_0}")]
     Json(serde_json::Error),
-    /// The folder that a probe made up is wrong.
-    #[display("the folder that was made up is wrong: {_0}")]
+    /// The settings folder that a probe generated is invalid.
+    #[display("the generated settings folder is invalid: {_0}")]
     Settings(settings::Report),
-    /// A message fits in no frame.
+    /// A message could not be encoded into a frame or decoded from one.
     #[display("{_0}")]
     Wire(wire::Error),
-    /// Two nodes could not be joined.
+    /// A node could not be started or a message could not be sent to a peer.
     #[display("{_0}")]
     Link(link::Error),
-    /// No certificate could be made.
+    /// A certificate could not be issued or read.
     #[display("{_0}")]
     Tls(link::tls::Error),
-    /// The interface can't listen.
+    /// The callers' interface could not listen on its address.
     #[display("{_0}")]
     Server(server::listen::BindError),
-    /// The log can't be started.
+    /// The log could not be started.
     #[display("{_0}")]
     Log(telemetry::LogError),
-    /// Settings were not accepted.
+    /// The store did not accept a change of the settings.
     #[display("{_0}")]
     Manifest(platform::manifest::Error),
-    /// Claims were not settled.
+    /// A batch of key claims could not be committed.
     #[display("{_0}")]
     Claim(platform::claim::Error),
-    /// The measurements lack what the page needs; measure again with this version.
+    /// The measurements lack a quantity that the page needs, or have it at fewer than two sizes. Measure
+    /// again with this version.
     #[display("no measurement of {quantity:?} by the probe {probe:?}; run `capacity slopes` again")]
     #[from(skip)]
     Missing {
-        /// The probe.
+        /// Probe that has no such measurement.
         probe: Probe,
-        /// What it measures.
+        /// Quantity that is missing.
         quantity: Quantity,
     },
-    /// The measurements don't say where they were made.
-    #[display("the first line does not describe the machine; run `capacity slopes` again")]
+    /// The measurements have no line that describes the machine.
+    #[display("no line describes the machine; run `capacity slopes` again")]
     #[from(skip)]
     NoMachine,
-    /// The code that is measured did not do what it was asked to.
-    #[display("the probe {probe:?} failed: {expected} expected, {found} found")]
+    /// The measured code did not do the expected amount of work.
+    #[display("the probe {probe:?} failed: expected {expected}, found {found}")]
     #[from(skip)]
     Unexpected {
-        /// The probe.
+        /// Probe that failed.
         probe: Probe,
-        /// What was to be seen.
+        /// Expected count; what it counts depends on the probe.
         expected: u64,
-        /// What was seen.
+        /// Count that was found.
         found: u64,
     },
 }
--- a/capacity/src/fake/backend.rs
+++ b/capacity/src/fake/backend.rs
@@ -1,4 +1,4 @@
-//! A process behind the callers' interface that answers every submission at once.
+//! Backend of the callers' interface that answers every submission at once.
 
 use crate::fake::load::{home, output};
 use async_trait::async_trait;
@@ -16,10 +16,10 @@
 };
 use std::sync::Arc;
 
-/// Answers with one output for each task.
+/// Answers each submission at once with one output per task.
 #[derive(Debug)]
-pub struct Prompt {
-    /// Settings in force.
+pub struct ImmediateBackend {
+    /// Site that the settings in force describe.
     pub site: Arc<Site>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 #[async_trait]
-impl Backend for Prompt {
+impl Backend for ImmediateBackend {
     fn token(&self) -> Token {
         Token { home: home(0, 0), epoch: 0 }
     }
@@ -45,8 +45,13 @@
         answer(&submission)
     }
 
-    async fn submit_keyed(&self, _: CompactString, _: bool, made: Arc<Submission>) -> KeyedAnswer {
-        KeyedAnswer { id: made.id, answer: answer(&made) }
+    async fn submit_keyed(
+        &self,
+        _: CompactString,
+        _: bool,
+        submission: Arc<Submission>,
+    ) -> KeyedAnswer {
+        KeyedAnswer { id: submission.id, answer: answer(&submission) }
     }
 
     fn submit_detached(&self, _: Arc<Submission>) {}
--- a/capacity/src/fake/folder.rs
+++ b/capacity/src/fake/folder.rs
@@ -1,4 +1,4 @@
-//! A site's folder of settings at any size.
+//! Generates a site's settings folder of a given size.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -6,17 +6,18 @@
 use site::Site;
 use std::sync::Arc;
 
-/// Data centres in a region.
-const REGION: usize = 3;
+/// Data centres in each region.
+const DATA_CENTRES_PER_REGION: usize = 3;
 
-/// Workers that one object, or one file of single objects, describes.
-const BATCH: usize = 64;
+/// Executors or workers that one file describes, by one object with a numbered name or by single
+/// objects.
+const ENDPOINTS_PER_FILE: usize = 64;
 
-/// Latency inside a region, one way.
-const NEAR: &str = "1400us";
+/// One-way latency inside a region.
+const REGION_LATENCY: &str = "1400us";
 
-/// Latency between regions, one way.
-const FAR: &str = "20ms";
+/// One-way latency between regions.
+const INTER_REGION_LATENCY: &str = "20ms";
 
 /// Name of the service that executors serve.
 pub const CHECK: &str = "check";
@@ -24,29 +25,29 @@
 /// Name of the service that workers run.
 pub const REPORT: &str = "report";
 
-/// How workers are written.
+/// How the settings list workers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Style {
-    /// Many alike by one numbered name.
+    /// One object with a numbered name describes many workers.
     Numbered,
-    /// Each by itself.
+    /// Each worker has an object of its own.
     WrittenOut,
 }
 
-/// What a site has.
+/// Sizes of the site that the folder describes.
 #[derive(Clone, Copy, Debug)]
 pub struct Folder {
-    /// Three of them form a region.
+    /// Number of data centres; three form a region.
     pub data_centres: usize,
-    /// Of 8 slots.
+    /// Number of executors, of 8 slots each.
     pub executors: usize,
-    /// Of 64 cores.
+    /// Number of workers, of 64 cores each.
     pub workers: usize,
-    /// Each with a file of its own.
+    /// Number of firms; each has a file of its own.
     pub firms: usize,
-    /// Tasks that each firm may have running on workers, if it has a quota.
+    /// Tasks that each firm may have running on workers; `None` for no quota.
     pub quota: Option<u32>,
-    /// How workers are written.
+    /// How workers are listed.
     pub style: Style,
 }
 
@@ -63,18 +64,18 @@
     }
 }
 
-/// Name of a data centre.
+/// Returns the name of a data centre.
 pub fn data_centre(number: usize) -> String {
     format!("dc-{number}")
 }
 
-/// Name of a firm.
+/// Returns the name of a firm.
 pub fn firm(number: usize) -> String {
     format!("firm-{number}")
 }
 
 impl Folder {
-    /// The files.
+    /// Returns the files of the folder.
     pub fn files(&self) -> Files {
         let mut files = Files::new();
         let mut add = |name: String, text: Value| {
@@ -95,21 +96,27 @@
         files
     }
 
-    /// The site that the files describe.
+    /// Returns the site that the files describe.
     ///
     /// # Errors
     ///
-    /// When a file is wrong.
+    /// Returns the report of the check if a file is invalid.
     pub fn site(&self) -> Result<Arc<Site>, settings::Report> {
         Ok(Arc::new(settings::parse(&self.files())?.site))
     }
 
     fn data_centres(&self) -> Value {
-        let named = |i| (data_centre(i), json!({ "region": format!("region-{}", i / REGION) }));
+        let named = |i| {
+            (data_centre(i), json!({ "region": format!("region-{}", i / DATA_CENTRES_PER_REGION) }))
+        };
         let all: serde_json::Map<_, _> = (0..self.data_centres).map(named).collect();
         let pairs = (0..self.data_centres).flat_map(|a| (0..a).map(move |b| (a, b)));
         let link = |(a, b): (usize, usize)| {
-            let latency = if a / REGION == b / REGION { NEAR } else { FAR };
+            let latency = if a / DATA_CENTRES_PER_REGION == b / DATA_CENTRES_PER_REGION {
+                REGION_LATENCY
+            } else {
+                INTER_REGION_LATENCY
+            };
             let between = [data_centre(a), data_centre(b)];
             (format!("link-{b}-{a}"), json!({ "between": between, "latency": latency }))
         };
@@ -120,7 +127,7 @@
     fn executors(&self) -> Vec<Value> {
         let executors = spread(self.executors, self.data_centres);
         let text = |(dc, range): (usize, std::ops::Range<usize>)| {
-            let key = format!("executor-{dc}-{}", numbers(&range));
+            let key = format!("executor-{dc}-{}", number_range(&range));
             let executor = json!({
                 "data-centre": data_centre(dc),
                 "address": format!("10.{dc}.0.1:{}+", 1_000 + range.start),
@@ -138,7 +145,7 @@
 
     fn batch(&self, dc: usize, range: std::ops::Range<usize>) -> Value {
         let first = range.start;
-        let rack = format!("rack-{dc}-{}", first / BATCH);
+        let rack = format!("rack-{dc}-{}", first / ENDPOINTS_PER_FILE);
         let worker = |address: String| {
             json!({
                 "data-centre": data_centre(dc),
@@ -151,7 +158,7 @@
         let port = |number| 10_000 + number;
         let workers: serde_json::Map<_, _> = match self.style {
             Style::Numbered => {
-                let key = format!("worker-{dc}-{}", numbers(&range));
+                let key = format!("worker-{dc}-{}", number_range(&range));
                 [(key, worker(format!("10.{dc}.0.2:{}+", port(first))))].into_iter().collect()
             }
             Style::WrittenOut => range
@@ -174,12 +181,12 @@
             contracts.insert(format!("{name}-{service}"), contract);
         }
         let digest = format!("{number:064x}");
-        let about = json!({
+        let description = json!({
             "weight": 1,
             "key-digests": { "first": digest },
             "crews": { "one": { "weight": 1 }, "two": { "weight": 2 } },
         });
-        json!({ "firms": { name: about }, "contracts": contracts })
+        json!({ "firms": { name: description }, "contracts": contracts })
     }
 }
 
@@ -192,17 +199,19 @@
     json!({ "services": { CHECK: { "place": "executors", "repeatable": true }, REPORT: report } })
 }
 
-/// Numbers `0..count` of each data centre in batches, spread evenly.
+/// Spreads `count` items evenly over the data centres and splits the numbers of each into batches.
 fn spread(count: usize, data_centres: usize) -> Vec<(usize, std::ops::Range<usize>)> {
-    let here = |dc: usize| (count + data_centres - 1 - dc) / data_centres;
+    let local_count = |dc: usize| (count + data_centres - 1 - dc) / data_centres;
     let batches = |dc: usize| {
-        let end = here(dc);
-        (0..end).step_by(BATCH).map(move |first| (dc, first..end.min(first + BATCH)))
+        let end = local_count(dc);
+        (0..end)
+            .step_by(ENDPOINTS_PER_FILE)
+            .map(move |first| (dc, first..end.min(first + ENDPOINTS_PER_FILE)))
     };
     (0..data_centres).flat_map(batches).collect()
 }
 
-/// A range of numbers as names write it.
-fn numbers(range: &std::ops::Range<usize>) -> String {
+/// Formats a range as numbered names write it: `{0000..0063}`.
+fn number_range(range: &std::ops::Range<usize>) -> String {
     format!("{{{:04}..{:04}}}", range.start, range.end - 1)
 }
--- a/capacity/src/fake/load.rs
+++ b/capacity/src/fake/load.rs
@@ -1,5 +1,5 @@
-//! A load on one entry, in virtual time: jobs at a fixed pace, and endpoints that answer each task
-//! after its run time.
+//! Load on one entry in virtual time: jobs at a fixed rate, and endpoints that answer each task after
+//! its run time.
 
 use crate::fake::folder;
 use bytes::Bytes;
@@ -23,18 +23,18 @@
 /// Run time of each task.
 pub const RUN_TIME: Span = Span::from_millis(400);
 
-/// What each task is measured to occupy on a worker; as much as its service declares.
-const MEASURED: Resources = Resources {
+/// Resources that a worker reports as used by each task; equal to what its service declares.
+const TASK_USAGE: Resources = Resources {
     slots: Slots(1),
     cores: Cores(1_000),
     memory: Memory(1 << 30),
     accelerators: Accelerators(0),
 };
 
-/// Deadline of each job; none of them is to be missed.
+/// Deadline of each job, long enough that none is missed.
 const DEADLINE: Span = Span::from_secs(86_400);
 
-/// Process number `number` in data centre `dc`.
+/// Returns the entry process number `number` in data centre `dc`.
 pub fn home(dc: usize, number: usize) -> Home {
     Home {
         data_centre: DataCentreId::of(&folder::data_centre(dc)),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The process `home` with settings, alone.
+/// Creates the entry process `home` with the settings of `site` and without peers.
 pub fn entry(home: Home, site: Arc<Site>, slots_per_lead: u32) -> Entry {
     Entry::new(Options {
         home,
@@ -57,7 +57,7 @@
     })
 }
 
-/// A submission of `tasks` tasks without bodies.
+/// Creates a submission of `tasks` tasks without bodies.
 pub fn submission(
     token: Token,
     number: u64,
@@ -83,29 +83,29 @@
     })
 }
 
-/// An output without a body.
+/// Returns an output without a body.
 pub fn output() -> Output {
     Output { status: 200, content_type: "application/json".into(), body: Bytes::new() }
 }
 
-/// Spreads numbers over all bits.
+/// Spreads a small number over all 64 bits.
 fn mix(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
 }
 
-/// One entry under load.
+/// One entry under load, with its fake endpoints.
 pub struct Load {
-    /// The entry.
+    /// Entry under load.
     pub entry: Entry,
-    /// The virtual time.
+    /// Current virtual time.
     pub now: Time,
-    /// What is submitted.
+    /// Service that all submissions use.
     pub service: ServiceId,
-    /// Firms that take turns.
+    /// Number of firms that submit in turn.
     pub firms: usize,
-    /// Tasks that were answered.
+    /// Tasks in the complete answers so far.
     pub answered: u64,
-    /// Messages that the entry sent, heartbeats left out.
+    /// Messages that the entry sent, except heartbeats.
     pub sent: Vec<(Home, Message)>,
     running: VecDeque<(Time, AttemptId)>,
     actions: Vec<Action>,
@@ -113,7 +113,7 @@
 }
 
 impl Load {
-    /// No load yet.
+    /// Creates a load without submissions.
     pub fn new(entry: Entry, service: &str, firms: usize) -> Load {
         Load {
             entry,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Submissions of `tasks` tasks each, by all firms in turn.
+    /// Creates one submission for each number in `tasks`, by all firms in turn.
     pub fn prepare(&mut self, tasks: impl IntoIterator<Item = usize>) -> Vec<Arc<Submission>> {
         let token = self.entry.own_token();
         let submission = |tasks| {
@@ -139,17 +139,17 @@
         tasks.into_iter().map(submission).collect()
     }
 
-    /// Submits, `gap` of time for each task after the other.
+    /// Submits in order, and advances the time by `gap` for each task.
     pub fn run(&mut self, submissions: Vec<Arc<Submission>>, gap: Span) {
         for submission in submissions {
             let next = self.now + Span(gap.0 * submission.tasks.len() as u64);
             let waiter = WaiterId(self.number);
-            self.tell(Event::Submit { waiter, submission });
+            self.handle(Event::Submit { waiter, submission });
             self.advance(next);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time to `until`, and handles all timers and task ends on the way.
     pub fn advance(&mut self, until: Time) {
         loop {
             let timer = self.entry.next_timer();
@@ -161,36 +161,37 @@
             self.now = self.now.max(next);
             match self.running.pop_front_if(|(end, _)| *end <= next) {
                 Some((_, attempt)) => self.finish(attempt),
-                None => self.tell(Event::Tick),
+                None => self.handle(Event::Tick),
             }
         }
         self.now = until;
     }
 
-    /// Waits until every task has ended.
+    /// Advances the virtual time until every running task has ended.
     pub fn finish_all(&mut self) {
         while let Some((end, _)) = self.running.back().copied() {
             self.advance(end);
         }
     }
 
-    /// Tasks that run.
+    /// Returns the number of running tasks.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Workers measure what a task occupies, executors don't.
+    /// Reports the end of an attempt. Workers also report the resources that a task used, executors
+    /// don't.
     fn finish(&mut self, attempt: AttemptId) {
         if self.service == ServiceId::of(folder::REPORT) {
-            self.tell(Event::Usage { attempt, measured: MEASURED });
+            self.handle(Event::Usage { attempt, measured: TASK_USAGE });
         }
         let reply = Reply::Done(output());
         let report = Report { attempt, reply, leaving: false, elapsed: RUN_TIME };
-        self.tell(Event::Report(report));
+        self.handle(Event::Report(report));
     }
 
-    /// Hands an event in and carries the actions out.
-    pub fn tell(&mut self, event: Event) {
+    /// Passes an event to the entry and carries out the resulting actions.
+    pub fn handle(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.entry.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
--- a/capacity/src/fake/mod.rs
+++ b/capacity/src/fake/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for what surrounds the code that is measured.
+//! Fakes for what surrounds the measured code: endpoints, callers, peers and the platform's store.
 
 pub mod backend;
 pub mod folder;
--- a/capacity/src/fake/peers.rs
+++ b/capacity/src/fake/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries, as one entry sees them.
+//! Fake peers of an entry: their identities, heartbeats and connections.
 
 use crate::fake::{folder, load::home};
 use dispatch::{Action, Entry, Event, Message, message::Heartbeat};
@@ -7,23 +7,23 @@
     unit::{Revision, Time},
 };
 
-/// Processes numbered `0..each` in each of `data_centres` data centres.
+/// Returns the processes numbered `0..each` in each of `data_centres` data centres.
 pub fn homes(data_centres: usize, each: usize) -> Vec<Home> {
     (0..data_centres).flat_map(|dc| (0..each).map(move |number| home(dc, number))).collect()
 }
 
-/// Data centre number `number`.
+/// Returns the id of data centre number `number`.
 pub fn data_centre(number: usize) -> DataCentreId {
     DataCentreId::of(&folder::data_centre(number))
 }
 
-/// A sign of life of an entry with the first settings.
+/// Creates a heartbeat of an entry with the first revision of the settings.
 pub fn heartbeat(epoch: u32) -> Message {
     Message::Heartbeat(Heartbeat { revision: Revision(1), epoch, draining: false, adopted: vec![] })
 }
 
-/// Has `entry` hear of `peers`: registered, connected and alive.
-pub fn meet(entry: &Entry, now: Time, peers: &[Home], out: &mut Vec<Action>) {
+/// Reports `peers` to `entry` as registered and connected, and delivers a heartbeat of each.
+pub fn connect(entry: &Entry, now: Time, peers: &[Home], out: &mut Vec<Action>) {
     let others: Vec<Home> = peers.iter().copied().filter(|peer| *peer != entry.home()).collect();
     entry.handle(now, Event::Registry { entries: others.clone() }, out);
     for peer in others {
--- a/capacity/src/fake/responder.rs
+++ b/capacity/src/fake/responder.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers every HTTP request at once.
+//! HTTP endpoint that responds to every request at once.
 
 use crate::measure;
 use std::{
@@ -11,65 +11,65 @@
     thread,
 };
 
-const ANSWER: &[u8] =
+const RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}";
 
-/// An endpoint on loopback. Runs until the process ends.
+/// Endpoint on loopback that runs until the process ends.
 #[derive(Debug)]
 pub struct Responder {
     address: SocketAddr,
     /// Processor time of its threads, in nanoseconds.
-    spent: Arc<AtomicU64>,
+    cpu_time: Arc<AtomicU64>,
 }
 
 impl Responder {
-    /// Starts one.
+    /// Starts a responder on a free port.
     ///
     /// # Errors
     ///
-    /// When no port is free.
+    /// Returns an error if no port can be bound.
     pub fn spawn() -> io::Result<Responder> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let address = listener.local_addr()?;
-        let spent = Arc::new(AtomicU64::new(0));
-        let counter = spent.clone();
+        let cpu_time = Arc::new(AtomicU64::new(0));
+        let counter = cpu_time.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let counter = counter.clone();
-                // An error ends the connection, and the caller sees that.
+                // An error closes the connection, which the caller notices.
                 thread::spawn(move || drop(serve(stream, &counter)));
             }
         });
-        Ok(Responder { address, spent })
+        Ok(Responder { address, cpu_time })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Processor time that it has spent, in nanoseconds.
-    pub fn spent(&self) -> u64 {
-        self.spent.load(Ordering::Relaxed)
+    /// Returns the processor time that it has used, in nanoseconds.
+    pub fn cpu_time(&self) -> u64 {
+        self.cpu_time.load(Ordering::Relaxed)
     }
 }
 
-fn serve(mut stream: TcpStream, spent: &AtomicU64) -> io::Result<()> {
+fn serve(mut stream: TcpStream, cpu_time: &AtomicU64) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut before = 0;
     loop {
-        let mut body = vec![0; head(&mut reader)?];
+        let mut body = vec![0; read_head(&mut reader)?];
         reader.read_exact(&mut body)?;
-        stream.write_all(ANSWER)?;
+        stream.write_all(RESPONSE)?;
         let now = measure::thread_time();
-        spent.fetch_add(now - before, Ordering::Relaxed);
+        cpu_time.fetch_add(now - before, Ordering::Relaxed);
         before = now;
     }
 }
 
-/// Reads a head; returns the length of the body.
-fn head(reader: &mut impl BufRead) -> io::Result<usize> {
+/// Reads the head of a request and returns the length of the body.
+fn read_head(reader: &mut impl BufRead) -> io::Result<usize> {
     let mut length = 0;
     let mut line = String::new();
     loop {
--- a/capacity/src/fake/store.rs
+++ b/capacity/src/fake/store.rs
@@ -1,4 +1,5 @@
-//! The platform's store, in memory, as far as claims and changes of settings use it.
+//! In-memory fake of the platform's store, with the operations that key claims and changes of
+//! settings use.
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -14,30 +15,30 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 
-/// A store that one client uses at a time, so that every comparison holds.
+/// Store for one client at a time, so that every comparison of a transaction holds.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryStore {
     values: Mutex<BTreeMap<Key, KeyValue>>,
     calls: AtomicU64,
 }
 
-impl Memory {
-    /// Calls so far.
+impl MemoryStore {
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Bytes of all values.
+    /// Returns the total length of all values in bytes.
     pub fn bytes(&self) -> usize {
         self.values.lock().values().map(|value| value.value.len()).sum()
     }
 
-    /// Bytes of one value; none without it.
+    /// Returns the length of a value in bytes; 0 if the key is absent.
     pub fn size(&self, key: &str) -> usize {
         self.values.lock().get(&Key::from(key)).map_or(0, |value| value.value.len())
     }
 
-    fn count(&self) -> Revision {
+    fn next_revision(&self) -> Revision {
         Revision(1 + self.calls.fetch_add(1, Ordering::Relaxed))
     }
 
@@ -54,9 +55,9 @@
 }
 
 #[async_trait]
-impl Store for Memory {
+impl Store for MemoryStore {
     async fn range(&self, range: Range, _: Consistency) -> Result<Listing, Error> {
-        let revision = self.count();
+        let revision = self.next_revision();
         let within = |key: &Key| match &range {
             Range::Key(wanted) => key == wanted,
             Range::Prefix(prefix) => key.0.starts_with(prefix.0.as_str()),
@@ -68,7 +69,7 @@
     }
 
     async fn txn(&self, txn: Txn) -> Result<Outcome, Error> {
-        let revision = self.count();
+        let revision = self.next_revision();
         for op in &txn.success {
             match op {
                 Op::Put(put) => self.write(put, revision),
--- a/capacity/src/machine.rs
+++ b/capacity/src/machine.rs
@@ -1,28 +1,28 @@
-//! Where and when something was measured.
+//! Description of the machine and the time of a run of measurements.
 
 use serde::{Deserialize, Serialize};
 use std::{fs, thread, time::SystemTime};
 
-/// The machine that a run was made on.
+/// Machine that a run of measurements was made on.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Machine {
-    /// The processor's name.
+    /// Model name of the processor; `unknown` if /proc/cpuinfo has none.
     pub processor: String,
-    /// Threads that can run at one time.
+    /// Hardware threads available to the process; 0 if unknown.
     pub threads: usize,
-    /// Load of the last minute when the run began, since others use the machine too.
+    /// One-minute load average at the start of the run, since others use the machine too.
     pub load: String,
-    /// When the run began, in seconds since 1970.
+    /// Start of the run, in seconds since the Unix epoch.
     pub began: u64,
 }
 
 impl Machine {
-    /// This machine, now.
+    /// Describes this machine at the current time.
     pub fn read() -> Machine {
-        let about = fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
-        let named = about.lines().find_map(|line| line.strip_prefix("model name"));
-        let processor = named.and_then(|rest| rest.split_once(':')).map_or("unknown", |(_, n)| n);
+        let cpu_info = fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
+        let model = cpu_info.lines().find_map(|line| line.strip_prefix("model name"));
+        let processor = model.and_then(|rest| rest.split_once(':')).map_or("unknown", |(_, n)| n);
         let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
         let began = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         Machine {
@@ -33,28 +33,28 @@
         }
     }
 
-    /// The day of the run, as year, month and day.
+    /// Returns the day of the run in UTC as `YYYY-MM-DD`.
     pub fn date(&self) -> String {
         let days = self.began / 86_400;
         let (mut year, mut left) = (1970, days);
-        while left >= days_of(year) {
-            left -= days_of(year);
+        while left >= days_in_year(year) {
+            left -= days_in_year(year);
             year += 1;
         }
         let mut month = 0;
-        while left >= month_days(year, month) {
-            left -= month_days(year, month);
+        while left >= days_in_month(year, month) {
+            left -= days_in_month(year, month);
             month += 1;
         }
         format!("{year}-{:02}-{:02}", month + 1, left + 1)
     }
 }
 
-fn days_of(year: u64) -> u64 {
-    (0..12).map(|month| month_days(year, month)).sum()
+fn days_in_year(year: u64) -> u64 {
+    (0..12).map(|month| days_in_month(year, month)).sum()
 }
 
-fn month_days(year: u64, month: usize) -> u64 {
+fn days_in_month(year: u64, month: usize) -> u64 {
     let leap = year.is_multiple_of(4) && (!year.is_multiple_of(100) || year.is_multiple_of(400));
     match month {
         1 if leap => 29,
--- a/capacity/src/page/budgets.rs
+++ b/capacity/src/page/budgets.rs
@@ -1,7 +1,10 @@
-//! Where the budgets are not met, and what carries full size.
+//! Sections of the page on the control budgets and on what misses them at full size, with remedies.
 
 use super::{
-    model::{ANSWER_LIMIT, BYTES_BUDGET, CLAIM_WRITES, CPU_BUDGET, HEAP_BUDGET, Model},
+    model::{
+        ANSWER_LIMIT_BYTES, CLAIM_WRITES_PER_SEC, CPU_BUDGET_NS_PER_SEC, HEAP_BUDGET_BYTES, Model,
+        NETWORK_BUDGET_BYTES_PER_SEC,
+    },
     text::{Table, bytes, core, number, rate},
 };
 use crate::{
@@ -18,34 +21,54 @@
      -> Result<(), Error> {
         let found = value(full)?;
         let met = match found / budget {
-            part if part <= 1.0 => "yes".into(),
-            part => format!("**no**, {} times", number(part)),
+            ratio if ratio <= 1.0 => "yes".into(),
+            ratio => format!("**no**, {} times", number(ratio)),
         };
         table.row([what.into(), show(value(today)?), show(found), show(budget), met]);
         Ok(())
     };
-    row("heartbeats, processor time", &|m| m.beat_cpu(), &core, CPU_BUDGET)?;
-    row("settings, processor time", &|m| Ok(m.changes() * m.change_cpu()?), &core, CPU_BUDGET)?;
+    row("heartbeats, processor time", &|m| m.heartbeat_cpu(), &core, CPU_BUDGET_NS_PER_SEC)?;
+    row(
+        "settings, processor time",
+        &|m| Ok(m.changes() * m.change_cpu()?),
+        &core,
+        CPU_BUDGET_NS_PER_SEC,
+    )?;
     row(
         "settings, if all changes fall into 8 hours",
         &|m| Ok(3.0 * m.changes() * m.change_cpu()?),
         &core,
-        CPU_BUDGET,
+        CPU_BUDGET_NS_PER_SEC,
+    )?;
+    row("usage of firms, processor time", &|m| m.usage_cpu(), &core, CPU_BUDGET_NS_PER_SEC)?;
+    row("processor time together", &|m| m.control_cpu(), &core, CPU_BUDGET_NS_PER_SEC)?;
+    row("memory", &|m| m.control_heap(), &bytes, HEAP_BUDGET_BYTES)?;
+    row("heartbeats, sent", &|m| m.heartbeat_bytes(), &rate, NETWORK_BUDGET_BYTES_PER_SEC)?;
+    row(
+        "heartbeats, sent and received",
+        &|m| Ok(2.0 * m.heartbeat_bytes()?),
+        &rate,
+        NETWORK_BUDGET_BYTES_PER_SEC,
+    )?;
+    row("settings read by a watcher", &|m| m.watch_bytes(), &rate, NETWORK_BUDGET_BYTES_PER_SEC)?;
+    row(
+        "settings passed on to an entry",
+        &|m| m.relay_bytes(),
+        &rate,
+        NETWORK_BUDGET_BYTES_PER_SEC,
+    )?;
+    row("usage of firms, sent", &|m| m.usage_bytes(), &rate, NETWORK_BUDGET_BYTES_PER_SEC)?;
+    row(
+        "wishes for capacity in overload, sent",
+        &|m| capacity_request_rate(m),
+        &rate,
+        NETWORK_BUDGET_BYTES_PER_SEC,
     )?;
-    row("usage of firms, processor time", &|m| m.usage_cpu(), &core, CPU_BUDGET)?;
-    row("processor time together", &|m| m.control_cpu(), &core, CPU_BUDGET)?;
-    row("memory", &|m| m.control_heap(), &bytes, HEAP_BUDGET)?;
-    row("heartbeats, sent", &|m| m.beat_bytes(), &rate, BYTES_BUDGET)?;
-    row("heartbeats, sent and received", &|m| Ok(2.0 * m.beat_bytes()?), &rate, BYTES_BUDGET)?;
-    row("settings read by a watcher", &|m| m.watch_bytes(), &rate, BYTES_BUDGET)?;
-    row("settings passed on to an entry", &|m| m.relay_bytes(), &rate, BYTES_BUDGET)?;
-    row("usage of firms, sent", &|m| m.usage_bytes(), &rate, BYTES_BUDGET)?;
-    row("wishes for capacity in overload, sent", &|m| wishes(m), &rate, BYTES_BUDGET)?;
     row(
         "sent together but for wishes, by the entry that passes settings on",
         &|m| m.control_bytes(),
         &rate,
-        BYTES_BUDGET,
+        NETWORK_BUDGET_BYTES_PER_SEC,
     )?;
     Ok(format!(
         "## Budgets
@@ -86,41 +109,41 @@
     );
     row(
         "wishes in overload",
-        format!("{} sent while tasks wait everywhere", rate(wishes(full)?)),
+        format!("{} sent while tasks wait everywhere", rate(capacity_request_rate(full)?)),
         &format!(
             "measured with 64 firms in a wish; since 1abc99a 16 are named: about {}",
-            rate(wishes(full)? / 4.0)
+            rate(capacity_request_rate(full)? / 4.0)
         ),
         "`MAX_DEMAND`; firms that are not named count for nothing already",
     );
-    let parse = 3.0 * full.changes() * full.change_cpu()?;
+    let parse_cpu = 3.0 * full.changes() * full.change_cpu()?;
     row(
         "settings, if all changes fall into 8 hours",
-        format!("{} of a core in these hours", core(parse)),
+        format!("{} of a core in these hours", core(parse_cpu)),
         "keep each file's parsed form by its digest, so that a change parses one file and merges; \
          more than one change a second is put in force together already",
         "`settings::Files` holds files by name, the manifest their digests",
     );
-    let packets = full.beat_bytes()?;
+    let sent = full.heartbeat_bytes()?;
     row(
         "heartbeats, if received bytes count",
-        rate(2.0 * packets),
+        rate(2.0 * sent),
         &format!(
             "every second instead of 500 ms to peers outside the data centre, with silence of 2.5 s \
              allowed to them: about {}; and none to a peer that was sent something meanwhile",
-            rate(2.0 * packets * heartbeat_part(full)?)
+            rate(2.0 * sent * remaining_heartbeat_ratio(full)?)
         ),
         "`membership::Options::interval`; any message counts as a sign of life already",
     );
     row(
         "claims of keys, writes",
-        format!("{}/s allowed", number(CLAIM_WRITES * full.size.entries)),
+        format!("{}/s allowed", number(CLAIM_WRITES_PER_SEC * full.size.entries)),
         "divide one budget for the site by the live entries",
         "`claim::Budget` takes any rate; the live entries are known",
     );
     row(
         "claims of keys, size",
-        format!("{} new keys/s in the mean of a day, then refused", number(full.key_limit()?)),
+        format!("{} new keys/s in the mean of a day, then refused", number(full.max_new_keys()?)),
         "4,096 documents instead of 256 and a key life of one hour: 384 times as many, in documents \
          that are 16 times smaller",
         "`claim::Shard` is the only place that knows the number; documents are found by the key",
@@ -138,15 +161,15 @@
             "{}/s, {}, {} of a core",
             number(full.starts()),
             rate(full.starts() * full.at(Probe::LogLine, Quantity::WireBytes, 4_000.0)?),
-            core(full.starts() * full.line_cpu()?)
+            core(full.starts() * full.log_line_cpu()?)
         ),
         "write the line's fields directly, not by way of a JSON value",
         "`telemetry::line::render` is one function",
     );
-    let single = full.starts() * full.memory_span();
+    let single_records = full.starts() * full.retention_secs();
     row(
         "single requests only",
-        format!("{} records in an entry", number(single)),
+        format!("{} records in an entry", number(single_records)),
         "more entries, or shorter epochs; or a record without its map's overhead",
         "`EPOCH` and `EPOCHS`; `ledger::Table` hides its maps",
     );
@@ -157,21 +180,22 @@
 that is the answers of the last {kept} s at the peak, and a caller that asks later is told `expired`.
 
 {table}",
-        limit = bytes(ANSWER_LIMIT),
-        kept = number((ANSWER_LIMIT / (full.starts() * 264.0)).min(full.memory_span())),
+        limit = bytes(ANSWER_LIMIT_BYTES),
+        kept = number((ANSWER_LIMIT_BYTES / (full.starts() * 264.0)).min(full.retention_secs())),
     ))
 }
 
-/// Part of the heartbeats that is left: all to the own data centre, half to the others.
-fn heartbeat_part(model: &Model<'_>) -> Result<f64, Error> {
-    let own = (model.local() - 1.0) / model.connections()?;
+/// Ratio of heartbeats left if peers outside the own data centre get half as many.
+fn remaining_heartbeat_ratio(model: &Model<'_>) -> Result<f64, Error> {
+    let own = (model.entries_per_data_centre() - 1.0) / model.connections()?;
     Ok(own + (1.0 - own) / 2.0)
 }
 
-/// Bytes a second of wishes that an entry sends while tasks wait at all entries of the region.
-pub(super) fn wishes(model: &Model<'_>) -> Result<f64, Error> {
+/// Bytes per second of capacity requests that an entry sends while tasks are queued at all entries
+/// of the region.
+pub(super) fn capacity_request_rate(model: &Model<'_>) -> Result<f64, Error> {
     let size = model.at(Probe::Lend, Quantity::WishBytes, 633.0)?;
-    let near = 3.0 * model.local() - 1.0;
+    let region_peers = 3.0 * model.entries_per_data_centre() - 1.0;
     let firms = (model.size.firms / 64.0).min(1.0);
-    Ok(2.0 * near * size * firms)
+    Ok(2.0 * region_peers * size * firms)
 }
--- a/capacity/src/page/cases.rs
+++ b/capacity/src/page/cases.rs
@@ -1,7 +1,7 @@
-//! Worked cases at full size.
+//! Section of the page on worked failure cases at full size.
 
 use super::{
-    model::{DAY, JOB, Model, RUN_TIME, Size},
+    model::{DAY_SECS, MEAN_JOB_TASKS, MEAN_RUN_TIME_SECS, Model, Size},
     platform::start_calls,
     text::{bytes, core, number, rate, time},
 };
@@ -10,19 +10,22 @@
     slope::{Probe, Quantity},
 };
 
-/// Replacements while the service is out.
-const REPLACED: f64 = 25.0;
+/// VMs replaced while the platform's service is unavailable.
+const REPLACED_VMS: f64 = 25.0;
 
-/// Calls a second of an entry while the service is out: two watches and, in each data centre, two
-/// for the settings are tried again every second or half second, the registration every 5 s.
-const TRIED: f64 = 2.0 + 0.2;
-const TRIED_SETTINGS: f64 = 2.0;
+/// Retried calls per second of an entry while the service is unavailable: two watches every second
+/// and the registration every 5 s.
+const ENTRY_RETRIES_PER_SEC: f64 = 2.0 + 0.2;
 
-/// Seconds that a region is cut off.
-const CUT: f64 = 300.0;
+/// Retried calls per second of one watcher of the settings, of which each data centre has two: one
+/// every half second.
+const SETTINGS_RETRIES_PER_SEC: f64 = 2.0;
+
+/// Duration of a region's network partition, in seconds.
+const PARTITION_SECS: f64 = 300.0;
 
 pub(super) fn render(full: &Model<'_>) -> Result<String, Error> {
-    let parts = [outage(full)?, lost(full)?, restarts(full)?, region(full)?];
+    let parts = [outage(full)?, data_centre_loss(full)?, restarts(full)?, region_partition(full)?];
     Ok(format!("## Worked cases at full size\n\n{}", parts.join("\n")))
 }
 
@@ -30,7 +33,8 @@
     let size = &full.size;
     let changes = size.changes / 24.0;
     let settings = full.settings(Quantity::WireBytes)?;
-    let tried = size.entries * TRIED + 2.0 * size.data_centres * TRIED_SETTINGS;
+    let tried =
+        size.entries * ENTRY_RETRIES_PER_SEC + 2.0 * size.data_centres * SETTINGS_RETRIES_PER_SEC;
     let calls = start_calls(full)?;
     Ok(format!(
         "### The service out for an hour, {replaced} replacements in it
@@ -51,10 +55,10 @@
   or two, as retries are every second without jitter; then one change to the newest settings, whatever
   was written.
 ",
-        replaced = number(REPLACED),
+        replaced = number(REPLACED_VMS),
         changes = number(changes.round()),
         settings = bytes(settings),
-        all = bytes(settings * REPLACED),
+        all = bytes(settings * REPLACED_VMS),
         tried = number(tried),
         entries = number(size.entries),
         calls = number(calls),
@@ -62,14 +66,14 @@
     ))
 }
 
-fn lost(full: &Model<'_>) -> Result<String, Error> {
+fn data_centre_loss(full: &Model<'_>) -> Result<String, Error> {
     let size = full.size;
     let part = 1.0 / size.data_centres;
-    let left =
+    let remaining =
         Size { entries: size.entries * (1.0 - part), workers: size.workers * (1.0 - part), ..size };
-    let less = full.resized(left);
-    let running = size.starts * RUN_TIME;
-    let near = size.workers * 3.0 / size.data_centres;
+    let reduced = full.resized(remaining);
+    let running = size.starts * MEAN_RUN_TIME_SECS;
+    let region_workers = size.workers * 3.0 / size.data_centres;
     Ok(format!(
         "### A data centre lost at the peak
 
@@ -90,13 +94,13 @@
         running = number(running * part),
         entries = number(size.entries * part),
         homes = 100.0 * part,
-        open = number(size.starts / JOB * part),
-        rekey = time(full.at(Probe::Endpoint, Quantity::RekeyNs, near)?),
-        cores = number(left.workers * 64.0),
+        open = number(size.starts / MEAN_JOB_TASKS * part),
+        rekey = time(full.at(Probe::Endpoint, Quantity::RekeyNs, region_workers)?),
+        cores = number(remaining.workers * 64.0),
         needed = number(running),
-        rest = number(left.entries),
+        rest = number(remaining.entries),
         before = core(full.data_cpu()?),
-        after = core(less.data_cpu()?),
+        after = core(reduced.data_cpu()?),
     ))
 }
 
@@ -104,10 +108,11 @@
     let size = &full.size;
     let share = size.entries / (size.entries + size.workers + size.executors);
     let table = full.handover_bytes()?;
-    let cpu = full.records() * full.at(Probe::Handover, Quantity::CpuNs, JOB)?;
-    let parts = (full.records() * full.at(Probe::Handover, Quantity::Messages, JOB)?).max(1.0);
-    let all = size.restarts * table / DAY / size.entries;
-    let lost = full.starts() * RUN_TIME;
+    let cpu = full.records() * full.at(Probe::Handover, Quantity::CpuNs, MEAN_JOB_TASKS)?;
+    let parts =
+        (full.records() * full.at(Probe::Handover, Quantity::Messages, MEAN_JOB_TASKS)?).max(1.0);
+    let all = size.restarts * table / DAY_SECS / size.entries;
+    let lost = full.starts() * MEAN_RUN_TIME_SECS;
     Ok(format!(
         "### 600 restarts a day, as handovers
 
@@ -138,14 +143,14 @@
         deaths = number(size.failures * share),
         lost = number(lost),
         part = 100.0 / size.entries,
-        ratio = format_args!("{:.1e}", size.failures * share * lost / (size.starts * DAY)),
+        ratio = format_args!("{:.1e}", size.failures * share * lost / (size.starts * DAY_SECS)),
     ))
 }
 
-fn region(full: &Model<'_>) -> Result<String, Error> {
+fn region_partition(full: &Model<'_>) -> Result<String, Error> {
     let size = &full.size;
     let third = size.entries / 3.0;
-    let changes = full.changes() * CUT;
+    let changes = full.changes() * PARTITION_SECS;
     let settings = full.settings(Quantity::WireBytes)?;
     Ok(format!(
         "### A region cut off for 5 minutes, and healed
--- a/capacity/src/page/entries.rs
+++ b/capacity/src/page/entries.rs
@@ -1,11 +1,12 @@
-//! How many entries the size needs.
+//! Section of the page on how many entries a site of full size needs.
 
 use super::{
-    model::{BYTES_BUDGET, FULL, Model, Size},
+    model::{FULL, Model, NETWORK_BUDGET_BYTES_PER_SEC, Size},
     text::{Table, core, number, rate},
 };
 use crate::{Error, Slopes};
 
+/// Numbers of entries that the table compares.
 const COUNTS: [f64; 5] = [9.0, 18.0, 27.0, 36.0, 54.0];
 
 pub(super) fn render(slopes: &Slopes) -> Result<String, Error> {
@@ -22,15 +23,15 @@
     for entries in COUNTS {
         let model = Model::new(slopes, Size { entries, ..FULL });
         let lost = entries * (1.0 - 1.0 / FULL.data_centres);
-        let less = Model::new(slopes, Size { entries: lost, ..FULL });
+        let reduced = Model::new(slopes, Size { entries: lost, ..FULL });
         table.row([
             number(entries),
-            number(model.local()),
+            number(model.entries_per_data_centre()),
             core(model.data_cpu()?),
-            core(less.data_cpu()?),
+            core(reduced.data_cpu()?),
             number(model.connections()?),
-            rate(model.beat_bytes()?),
-            core(model.beat_cpu()?),
+            rate(model.heartbeat_bytes()?),
+            core(model.heartbeat_cpu()?),
             format!("{:.1}%", 100.0 / entries),
         ]);
     }
@@ -58,9 +59,9 @@
 ",
         all = number(all),
         task = super::text::time(full.task_cpu()?),
-        line = super::text::time(full.line_cpu()?),
+        line = super::text::time(full.log_line_cpu()?),
         submission = super::text::time(full.submission_cpu()?),
-        budget = rate(BYTES_BUDGET),
+        budget = rate(NETWORK_BUDGET_BYTES_PER_SEC),
         slots = number(f64::from(dispatch::entry::DEFAULT_SLOTS_PER_LEAD)),
     ))
 }
--- a/capacity/src/page/mod.rs
+++ b/capacity/src/page/mod.rs
@@ -1,4 +1,4 @@
-//! docs/CAPACITY.md.
+//! Renders docs/CAPACITY.md from the measurements.
 
 mod budgets;
 mod cases;
@@ -12,14 +12,15 @@
 use model::{FULL, Model, TODAY};
 use text::{Table, number};
 
-/// What the users' bench showed of `primrosestep-node` at three sizes. Written by hand from its report.
+/// Results of the users' bench for `primrosestep-node` at three sizes, written by hand from its
+/// report.
 const SWEEP: &str = include_str!("../../sweep.md");
 
-/// The page.
+/// Renders the page.
 ///
 /// # Errors
 ///
-/// When a measurement is missing.
+/// Returns [`Error::Missing`] when a measurement is missing.
 pub fn render(slopes: &Slopes) -> Result<String, Error> {
     let (today, full) = (Model::new(slopes, TODAY), Model::new(slopes, FULL));
     let sections = [
@@ -28,7 +29,7 @@
         SWEEP.to_owned(),
         entries::render(slopes)?,
         budgets::render(&today, &full)?,
-        roles::rows(&today, &full)?,
+        roles::render(&today, &full)?,
         platform::render(&today, &full)?,
         budgets::shortfalls(&full)?,
         cases::render(&full)?,
@@ -76,8 +77,8 @@
     row("workers", |size| size.workers);
     row("firms (teams), with quotas at full size", |size| size.firms);
     row("task starts a second at the peak", |size| size.starts);
-    row("tasks of a job, in the mean", |_| model::JOB);
-    row("submissions a second at the peak", |size| size.starts / model::JOB);
+    row("tasks of a job, in the mean", |_| model::MEAN_JOB_TASKS);
+    row("submissions a second at the peak", |size| size.starts / model::MEAN_JOB_TASKS);
     row("changes of settings a day", |size| size.changes);
     row("VMs that fail a day", |size| size.failures);
     row("VMs restarted or replaced a day", |size| size.restarts);
@@ -93,7 +94,7 @@
     )
 }
 
-/// Every measurement, as it was printed.
+/// Renders the table of all measurements.
 fn measured(slopes: &Slopes) -> String {
     let mut table = Table::new(["probe", "size", "values"]);
     for point in &slopes.points {
--- a/capacity/src/page/platform.rs
+++ b/capacity/src/page/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's service as entries use it.
+//! Section of the page on the calls that entries make to the platform's service.
 
 use super::{
-    model::{CLAIM_WRITES, DAY, Model, WATCHERS},
+    model::{CLAIM_WRITES_PER_SEC, DAY_SECS, Model, WATCHERS_PER_DATA_CENTRE},
     text::{Table, bytes, number},
 };
 use crate::{
@@ -10,12 +10,14 @@
 };
 
 /// Seconds between renewals of a registration.
-const RENEWAL: f64 = 5.0;
+const RENEWAL_INTERVAL_SECS: f64 = 5.0;
 
-/// Calls of a new process: lease, read and write of its registration; lists and watches of entries
-/// and VMs; manifest and files in batches of 64.
-const CALLS: f64 = 7.0;
-const BATCH: f64 = 64.0;
+/// Calls of a new process besides those for its settings files: lease, read and write of its registration; lists and watches of entries
+/// and VMs.
+const START_CALLS: f64 = 7.0;
+
+/// Settings files read by one call; the manifest takes one call more.
+const FILES_PER_CALL: f64 = 64.0;
 
 pub(super) fn render(today: &Model<'_>, full: &Model<'_>) -> Result<String, Error> {
     let mut table = Table::new(["calls", "mechanism", "today", "full size", "grows with"]);
@@ -53,28 +55,28 @@
     row(
         "settings, reads",
         "one transaction of each watcher for a change, one of `apply`",
-        |m| Ok(setting_reads(m)),
+        |m| Ok(settings_reads(m)),
         "/s",
         "changes and data centres",
     )?;
     row(
         "starts of entries, calls",
         "register, list, watch, fetch; if every restart of the day were an entry's",
-        starts,
+        start_calls_per_sec,
         "/s",
         "restarts, and files",
     )?;
     row(
         "claims, writes at most",
         "group commit within 2 ms, a budget of 20/s for each entry",
-        |m| Ok(CLAIM_WRITES * m.size.entries),
+        |m| Ok(CLAIM_WRITES_PER_SEC * m.size.entries),
         "/s",
         "entries; is to be divided, see below",
     )?;
     row(
         "claims, reads at most",
         "one for each write",
-        |m| Ok(CLAIM_WRITES * m.size.entries),
+        |m| Ok(CLAIM_WRITES_PER_SEC * m.size.entries),
         "/s",
         "the same",
     )?;
@@ -82,7 +84,7 @@
     row(
         "reads without claims",
         "watches counted as calls of one second",
-        |m| Ok(watches(m) + setting_reads(m) + starts(m)?),
+        |m| Ok(watches(m) + settings_reads(m) + start_calls_per_sec(m)?),
         "/s",
         "",
     )?;
@@ -106,34 +108,35 @@
         document = bytes(document),
         limit = bytes(limit),
         commit = super::text::time(commit),
-        shards = number(super::model::SHARDS),
-        keys = number(full.key_limit()?),
-        today = number(today.size.starts / super::model::JOB),
+        shards = number(super::model::CLAIM_DOCUMENTS),
+        keys = number(full.max_new_keys()?),
+        today = number(today.size.starts / super::model::MEAN_JOB_TASKS),
         share = format_args!(
             "{:.1}%",
-            100.0 * full.key_limit()? / (full.size.starts / super::model::JOB)
+            100.0 * full.max_new_keys()? / (full.size.starts / super::model::MEAN_JOB_TASKS)
         ),
     ))
 }
 
 fn watches(model: &Model<'_>) -> f64 {
-    let settings = WATCHERS.min(model.local()) * model.size.data_centres;
+    let settings =
+        WATCHERS_PER_DATA_CENTRE.min(model.entries_per_data_centre()) * model.size.data_centres;
     2.0 * model.size.entries + settings
 }
 
 fn renewals(model: &Model<'_>) -> f64 {
-    model.size.entries / RENEWAL
+    model.size.entries / RENEWAL_INTERVAL_SECS
 }
 
-fn setting_reads(model: &Model<'_>) -> f64 {
-    model.changes() * (WATCHERS * model.size.data_centres + 1.0)
+fn settings_reads(model: &Model<'_>) -> f64 {
+    model.changes() * (WATCHERS_PER_DATA_CENTRE * model.size.data_centres + 1.0)
 }
 
-fn starts(model: &Model<'_>) -> Result<f64, Error> {
-    Ok((model.size.restarts + model.size.failures) / DAY * start_calls(model)?)
+fn start_calls_per_sec(model: &Model<'_>) -> Result<f64, Error> {
+    Ok((model.size.restarts + model.size.failures) / DAY_SECS * start_calls(model)?)
 }
 
-/// Calls of a process that starts.
+/// Calls of a process that starts, with those for the manifest and the files.
 pub(super) fn start_calls(model: &Model<'_>) -> Result<f64, Error> {
-    Ok(CALLS + 1.0 + (model.settings(Quantity::Files)? / BATCH).ceil())
+    Ok(START_CALLS + 1.0 + (model.settings(Quantity::Files)? / FILES_PER_CALL).ceil())
 }
--- a/capacity/src/page/roles.rs
+++ b/capacity/src/page/roles.rs
@@ -1,8 +1,8 @@
-//! What each role costs.
+//! Section of the page on what each role of an entry costs.
 
 use super::{
-    budgets::wishes,
-    model::{JOB, Model, RUN_TIME},
+    budgets::capacity_request_rate,
+    model::{MEAN_JOB_TASKS, MEAN_RUN_TIME_SECS, Model},
     text::{Table, bytes, core, number, rate, time},
 };
 use crate::{
@@ -12,13 +12,13 @@
 
 type Figure = Result<String, Error>;
 
-pub(super) fn rows(today: &Model<'_>, full: &Model<'_>) -> Result<String, Error> {
+pub(super) fn render(today: &Model<'_>, full: &Model<'_>) -> Result<String, Error> {
     let heads = ["state or message", "mechanism", "today", "full size", "breaks first"];
     let section = |title: &str, rows: &[Row]| -> Result<String, Error> {
         let mut table = Table::new(heads);
         for row in rows {
-            let (now, then) = ((row.cost)(today)?, (row.cost)(full)?);
-            table.row([row.what.into(), row.mechanism.into(), now, then, row.limit.into()]);
+            let (at_today, at_full) = ((row.cost)(today)?, (row.cost)(full)?);
+            table.row([row.what.into(), row.mechanism.into(), at_today, at_full, row.limit.into()]);
         }
         Ok(format!("### {title}\n\n{table}"))
     };
@@ -33,10 +33,12 @@
     Ok(format!("## Roles\n\nOf one entry, at the peak.\n\n{}", parts.join("\n")))
 }
 
+/// Row of a table of the section; its cost is computed for both sizes.
 struct Row {
     what: &'static str,
     mechanism: &'static str,
     cost: fn(&Model<'_>) -> Figure,
+    /// What breaks first as the size grows.
     limit: &'static str,
 }
 
@@ -54,8 +56,8 @@
         "open tasks",
         "`ledger::Table` in 16 shards, `fairness::Queue` under its pool's lock",
         |m| {
-            let tasks = m.starts() * RUN_TIME;
-            let each = m.at(Probe::OpenTask, Quantity::HeapBytes, JOB)?;
+            let tasks = m.starts() * MEAN_RUN_TIME_SECS;
+            let each = m.at(Probe::OpenTask, Quantity::HeapBytes, MEAN_JOB_TASKS)?;
             Ok(format!("{} running, {} each: {}", number(tasks), bytes(each), bytes(tasks * each)))
         },
         "500,000 queued tasks of a pool (`MAX_QUEUED`), then refused",
@@ -64,7 +66,7 @@
         "finished submissions",
         "kept for 8 epochs of 15 s; answers to 64 MiB, then only that they ended",
         |m| {
-            let each = m.at(Probe::FinishedAnswer, Quantity::HeapBytes, JOB)?;
+            let each = m.at(Probe::FinishedAnswer, Quantity::HeapBytes, MEAN_JOB_TASKS)?;
             let kept = m.records() * each;
             Ok(format!("{} of {}: {}", number(m.records()), bytes(each), bytes(kept)))
         },
@@ -80,7 +82,7 @@
         "finished, if all were single requests",
         "one record for each identifier, which may not be forgotten sooner",
         |m| {
-            let records = m.starts() * m.memory_span();
+            let records = m.starts() * m.retention_secs();
             let each = m.at(Probe::FinishedAnswer, Quantity::HeapBytes, 1.0)?;
             let kept = records * each;
             Ok(format!("{}: {}", number(records), bytes(kept)))
@@ -91,7 +93,8 @@
         "a task: decision",
         "`dispatch::Entry::handle`, one lock a pool",
         |m| {
-            let each = m.at(Probe::StartByEndpoints, Quantity::CpuNs, m.kept().max(50.0))?;
+            let each =
+                m.at(Probe::StartByEndpoints, Quantity::CpuNs, m.kept_endpoints().max(50.0))?;
             Ok(format!("{}: {} of a core", time(each), core(each * m.starts())))
         },
         "the pool's lock: its share of a core, far from one",
@@ -101,7 +104,7 @@
         "`endpoint::http`, `telemetry::Log`",
         |m| {
             let call = m.at(Probe::Call, Quantity::CpuNs, 64.0)?;
-            let line = m.line_cpu()?;
+            let line = m.log_line_cpu()?;
             let both = m.starts() * (call + line);
             Ok(format!("{} and {}: {} of a core", time(call), time(line), core(both)))
         },
@@ -111,7 +114,7 @@
         "a submission: caller's interface",
         "`server`, at the entry that the balancer chose",
         |m| {
-            let each = m.at(Probe::Request, Quantity::CpuNs, JOB)?;
+            let each = m.at(Probe::Request, Quantity::CpuNs, MEAN_JOB_TASKS)?;
             Ok(format!("{}: {} of a core", time(each), core(each * m.submissions())))
         },
         "8,192 waiting callers of an entry (`waiters`), then refused",
@@ -124,9 +127,9 @@
         "`Message::Submit` and `Answered`; the token names an entry that places tasks",
         |m| {
             let part = 1.0 - 1.0 / m.size.entries;
-            let each = m.at(Probe::Forward, Quantity::WireBytes, JOB)?;
-            let rate_of = m.submissions() * part;
-            Ok(format!("{}/s, {} each without bodies", number(rate_of), bytes(each)))
+            let each = m.at(Probe::Forward, Quantity::WireBytes, MEAN_JOB_TASKS)?;
+            let forwarded = m.submissions() * part;
+            Ok(format!("{}/s, {} each without bodies", number(forwarded), bytes(each)))
         },
         "bodies: they cross the link once each way; 16 MiB queued for a peer",
     ),
@@ -147,7 +150,7 @@
         "rendezvous hashing over the entries that place tasks",
         |m| {
             let each = m.at(Probe::Endpoint, Quantity::HeapBytes, 5_700.0)?;
-            Ok(format!("{} of {}", number(m.kept()), bytes(each)))
+            Ok(format!("{} of {}", number(m.kept_endpoints()), bytes(each)))
         },
         "nothing near; every entry knows all endpoints",
     ),
@@ -155,8 +158,8 @@
         "capacity lent and returned, one endpoint",
         "`Lend` and `Return`, gathered for 5 or 25 ms",
         |m| {
-            let cpu = m.at(Probe::Lend, Quantity::CpuNs, m.kept().max(50.0))?;
-            let size = m.at(Probe::Lend, Quantity::WireBytes, m.kept().max(50.0))?;
+            let cpu = m.at(Probe::Lend, Quantity::CpuNs, m.kept_endpoints().max(50.0))?;
+            let size = m.at(Probe::Lend, Quantity::WireBytes, m.kept_endpoints().max(50.0))?;
             Ok(format!("{}, {}", time(cpu), bytes(size)))
         },
         "nothing near",
@@ -164,15 +167,15 @@
     row(
         "wishes while tasks wait everywhere",
         "`Want` every 500 ms to all that place tasks in the region",
-        |m| Ok(format!("at most {} sent", rate(wishes(m)?))),
+        |m| Ok(format!("at most {} sent", rate(capacity_request_rate(m)?))),
         "firms: only 64 are named, the rest counts for nothing",
     ),
     row(
         "a change of members",
         "`Pool::rekey` over the endpoints of the region",
         |m| {
-            let near = (m.size.workers + m.size.executors) * 3.0 / m.size.data_centres;
-            Ok(time(m.at(Probe::Endpoint, Quantity::RekeyNs, near)?))
+            let region_endpoints = (m.size.workers + m.size.executors) * 3.0 / m.size.data_centres;
+            Ok(time(m.at(Probe::Endpoint, Quantity::RekeyNs, region_endpoints)?))
         },
         "nothing near: 636 a day, a few for each",
     ),
@@ -208,7 +211,7 @@
         "the first watcher sends the files that changed to the others of its data centre",
         |m| {
             let each = m.settings(Quantity::DeltaBytes)?;
-            let sent = m.relayed() * m.relay_bytes()?;
+            let sent = m.relay_targets() * m.relay_bytes()?;
             Ok(format!("{} each: {} sent", bytes(each), rate(sent)))
         },
         "a peer more than 64 changes behind gets the whole folder",
@@ -238,7 +241,7 @@
          two of each other data centre",
         |m| {
             let connections = m.connections()?;
-            Ok(format!("{} peers: {} sent", number(connections), rate(m.beat_bytes()?)))
+            Ok(format!("{} peers: {} sent", number(connections), rate(m.heartbeat_bytes()?)))
         },
         "entries of a region, see the table above",
     ),
--- a/capacity/src/page/text.rs
+++ b/capacity/src/page/text.rs
@@ -1,9 +1,9 @@
-//! Text of numbers and tables.
+//! Formatting of numbers, units and Markdown tables.
 
 use serde::Serialize;
 use std::fmt;
 
-/// A table in Markdown.
+/// Markdown table.
 pub(super) struct Table {
     rows: Vec<String>,
 }
@@ -25,18 +25,18 @@
     }
 }
 
-/// A number with three digits that count, and commas.
+/// Formats a number with about three significant digits and with commas between thousands.
 pub(super) fn number(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
         small if small < 0.1 => format!("{value:.4}"),
         small if small < 10.0 && value.fract() != 0.0 => format!("{value:.2}"),
         small if small < 100.0 && value.fract() != 0.0 => format!("{value:.1}"),
-        _ => commas(value.round() as i64),
+        _ => group_thousands(value.round() as i64),
     }
 }
 
-fn commas(value: i64) -> String {
+fn group_thousands(value: i64) -> String {
     let digits = value.to_string();
     let first = digits.len() % 3;
     let (head, tail) = digits.split_at(first);
@@ -45,22 +45,22 @@
     head.into_iter().chain(groups).collect::<Vec<_>>().join(",")
 }
 
-/// Bytes.
+/// Formats a number of bytes.
 pub(super) fn bytes(value: f64) -> String {
     scaled(value, &["B", "KB", "MB", "GB"])
 }
 
-/// Bytes a second.
+/// Formats a rate in bytes per second.
 pub(super) fn rate(value: f64) -> String {
     format!("{}/s", bytes(value))
 }
 
-/// A time in nanoseconds.
+/// Formats a time given in nanoseconds.
 pub(super) fn time(value: f64) -> String {
     scaled(value, &["ns", "µs", "ms", "s"])
 }
 
-/// A share of one core, from nanoseconds in a second.
+/// Formats nanoseconds of processor time per second as a percentage of one core.
 pub(super) fn core(value: f64) -> String {
     let percent = value / 1e7;
     match percent {
@@ -83,7 +83,7 @@
     number(value)
 }
 
-/// How a measurement calls it.
+/// Returns the name under which a probe or quantity is serialized.
 pub(super) fn name(value: &impl Serialize) -> String {
     serde_json::to_value(value)
         .ok()
--- a/capacity/src/probe/call.rs
+++ b/capacity/src/probe/call.rs
@@ -1,6 +1,6 @@
-//! Processor time of a task's way to its endpoint and back.
+//! Measures the processor time of an HTTP call to an endpoint.
 
-use super::{Sink, steady};
+use super::{Sink, min_of_runs};
 use crate::{Error, Point, Probe, Quantity, fake::responder::Responder, measure::process_time};
 use endpoint::{
     Call, Reply, Transport,
@@ -14,35 +14,35 @@
 use smol::block_on;
 use std::{net::SocketAddr, sync::Arc};
 
-/// Calls at one time.
-const PARALLEL: [usize; 3] = [1, 16, 64];
+/// Numbers of concurrent calls.
+const CONCURRENT_CALLS: [usize; 3] = [1, 16, 64];
 
-/// Calls of one measurement, together.
-const COUNT: usize = 12_800;
+/// Total calls of one measurement.
+const MEASURED_CALLS: usize = 12_800;
 
-/// Calls before it.
-const WARM_UP: usize = 640;
+/// Calls before the measurement.
+const WARM_UP_CALLS: usize = 640;
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
-    PARALLEL.into_iter().try_for_each(|parallel| sink(steady(|| point(parallel))?))
+    CONCURRENT_CALLS.into_iter().try_for_each(|parallel| sink(min_of_runs(|| point(parallel))?))
 }
 
 fn point(parallel: usize) -> Result<Point, Error> {
     let responder = Responder::spawn()?;
     let client = Arc::new(Client::new(Incarnation(1), Options::default()));
-    calls(&client, responder.address(), parallel, WARM_UP);
-    let before = process_time() - responder.spent();
-    let found = calls(&client, responder.address(), parallel, COUNT);
-    let spent = process_time() - responder.spent() - before;
-    let expected = (COUNT / parallel * parallel) as u64;
+    make_calls(&client, responder.address(), parallel, WARM_UP_CALLS);
+    let before = process_time() - responder.cpu_time();
+    let found = make_calls(&client, responder.address(), parallel, MEASURED_CALLS);
+    let spent = process_time() - responder.cpu_time() - before;
+    let expected = (MEASURED_CALLS / parallel * parallel) as u64;
     if found != expected {
         return Err(Error::Unexpected { probe: Probe::Call, expected, found });
     }
     Ok(Point::new(Probe::Call, parallel, [(Quantity::CpuNs, spent as f64 / expected as f64)]))
 }
 
-/// Makes calls; returns how many were answered.
-fn calls(client: &Arc<Client>, address: SocketAddr, parallel: usize, count: usize) -> u64 {
+/// Makes `count` calls, `parallel` at a time, and returns how many succeeded.
+fn make_calls(client: &Arc<Client>, address: SocketAddr, parallel: usize, count: usize) -> u64 {
     let lane = |client: Arc<Client>| async move {
         let mut done = 0;
         for _ in 0..count / parallel {
--- a/capacity/src/probe/claim.rs
+++ b/capacity/src/probe/claim.rs
@@ -1,9 +1,9 @@
-//! Claims on callers' keys.
+//! Measures key claims, which are committed to documents in the platform's store.
 
-use super::{Sink, steady};
+use super::{Sink, min_of_runs};
 use crate::{
     Error, Point, Probe, Quantity,
-    fake::{load::home, store::Memory},
+    fake::{load::home, store::MemoryStore},
     measure::timed,
 };
 use compact_str::format_compact;
@@ -15,22 +15,22 @@
 use smol::block_on;
 use uuid::Uuid;
 
-/// Claims that the document holds already.
-const SIZES: [usize; 3] = [100, 700, 2_000];
+/// Numbers of claims that the document already holds.
+const DOCUMENT_CLAIMS: [usize; 3] = [100, 700, 2_000];
 
-/// Claims of one measurement, each committed by itself.
-const COUNT: usize = 20;
+/// Claims of one measurement, each committed separately.
+const MEASURED_CLAIMS: usize = 20;
 
 const FIRM: FirmId = FirmId(1);
 
 const NOW: Now = Now { time: Time(0), calendar: Timestamp(1_800_000_000) };
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
-    SIZES.into_iter().try_for_each(|size| sink(steady(|| point(size))?))
+    DOCUMENT_CLAIMS.into_iter().try_for_each(|size| sink(min_of_runs(|| point(size))?))
 }
 
 fn point(size: usize) -> Result<Point, Error> {
-    let (store, budget) = (Memory::default(), RateLimiter::new(1, 1_000));
+    let (store, budget) = (MemoryStore::default(), RateLimiter::new(1, 1_000));
     let mut claims = claims();
     let commit = |claims: Vec<Claim>| -> Result<(), Error> {
         for batch in Batch::split(claims) {
@@ -41,24 +41,24 @@
     commit(claims.by_ref().take(size).collect())?;
     let bytes = store.bytes() as f64 / size as f64;
     let before = store.calls();
-    let single: Vec<Claim> = claims.take(COUNT).collect();
+    let single: Vec<Claim> = claims.take(MEASURED_CLAIMS).collect();
     let (result, time) = timed(|| single.into_iter().try_for_each(|claim| commit(vec![claim])));
     result?;
     let values = [
-        (Quantity::CpuNs, time / COUNT as f64),
-        (Quantity::Calls, (store.calls() - before) as f64 / COUNT as f64),
+        (Quantity::CpuNs, time / MEASURED_CLAIMS as f64),
+        (Quantity::Calls, (store.calls() - before) as f64 / MEASURED_CLAIMS as f64),
         (Quantity::HeapBytes, bytes),
         (Quantity::DocumentBytes, bytes * size as f64),
     ];
     Ok(Point::new(Probe::Claim, size, values))
 }
 
-/// Claims that belong into the same document.
+/// Returns claims whose keys all belong to the same document.
 fn claims() -> impl Iterator<Item = Claim> {
     let key = |number: u64| format_compact!("order-{number:012}");
     let shard = Shard::of(FIRM, &key(0));
-    let here = (0..).filter(move |number| Shard::of(FIRM, &key(*number)) == shard);
-    here.map(move |number| Claim {
+    let same_shard = (0..).filter(move |number| Shard::of(FIRM, &key(*number)) == shard);
+    same_shard.map(move |number| Claim {
         firm: FIRM,
         key: key(number),
         id: SubmissionId {
--- a/capacity/src/probe/forward.rs
+++ b/capacity/src/probe/forward.rs
@@ -1,6 +1,6 @@
-//! Submissions that an entry sends on to their home.
+//! Measures submissions that an entry forwards to their home.
 
-use super::{Sink, encode, steady};
+use super::{Sink, encode, min_of_runs};
 use crate::{
     Error, Point, Probe, Quantity,
     fake::{
@@ -8,7 +8,7 @@
         load::{entry, home, output, submission},
         peers,
     },
-    measure::{least, timed},
+    measure::{min_time, timed},
 };
 use dispatch::{Action, Event, Message};
 use site::{
@@ -22,10 +22,10 @@
 const TASKS: [usize; 4] = [1, 25, 125, 780];
 
 /// Submissions of one measurement.
-const COUNT: usize = 5_000;
+const MEASURED_SUBMISSIONS: usize = 5_000;
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
-    TASKS.into_iter().try_for_each(|tasks| sink(steady(|| point(tasks))?))
+    TASKS.into_iter().try_for_each(|tasks| sink(min_of_runs(|| point(tasks))?))
 }
 
 fn point(tasks: usize) -> Result<Point, Error> {
@@ -33,15 +33,16 @@
     let entry = entry(home(0, 0), site, u32::MAX);
     let token = Token { home: home(0, 1), epoch: 0 };
     let mut out = Vec::new();
-    peers::meet(&entry, Time(1), &[token.home], &mut out);
+    peers::connect(&entry, Time(1), &[token.home], &mut out);
     let (firm, service) = (FirmId::of(&folder::firm(0)), ServiceId::of(CHECK));
-    let made = (0..COUNT as u64).map(|n| submission(token, n, tasks, firm, service));
-    let made: Vec<_> = made.collect();
+    let submissions =
+        (0..MEASURED_SUBMISSIONS as u64).map(|n| submission(token, n, tasks, firm, service));
+    let submissions: Vec<_> = submissions.collect();
     let answer = Arc::new(Answer::Complete(vec![output(); tasks]));
     let mut requests = Vec::new();
     let mut sample = None;
     let ((), time) = timed(|| {
-        for (number, submission) in made.into_iter().enumerate() {
+        for (number, submission) in submissions.into_iter().enumerate() {
             out.clear();
             let waiter = WaiterId(number as u64);
             entry.handle(Time(2), Event::Submit { waiter, submission }, &mut out);
@@ -60,22 +61,22 @@
             entry.handle(Time(3), Event::Message { from: token.home, message }, &mut out);
         }
     });
-    let (expected, found) = (COUNT as u64, requests.len() as u64);
+    let (expected, found) = (MEASURED_SUBMISSIONS as u64, requests.len() as u64);
     let Some(submit) = sample.filter(|_| found == expected) else {
         return Err(Error::Unexpected { probe: Probe::Forward, expected, found });
     };
     let answered = Message::Answered { request: 1, answer };
     let bytes = (encode(&submit)?.len() + encode(&answered)?.len()) as f64;
-    let codec = least(20, || [&submit, &answered].map(round));
+    let codec = min_time(20, || [&submit, &answered].map(round_trip));
     let values = [
-        (Quantity::CpuNs, time / COUNT as f64),
+        (Quantity::CpuNs, time / MEASURED_SUBMISSIONS as f64),
         (Quantity::WireBytes, bytes),
         (Quantity::CodecNs, codec),
     ];
     Ok(Point::new(Probe::Forward, tasks, values))
 }
 
-/// Encodes and decodes.
-fn round(message: &Message) -> Result<Frame, Error> {
+/// Encodes and decodes a message.
+fn round_trip(message: &Message) -> Result<Frame, Error> {
     Ok(Frame::decode(&encode(message)?[PREFIX_BYTES..])?)
 }
--- a/capacity/src/probe/lend.rs
+++ b/capacity/src/probe/lend.rs
@@ -1,6 +1,6 @@
-//! Capacity that a keeper lends and gets back.
+//! Measures capacity that a keeper lends to another entry and that is returned.
 
-use super::{Sink, encoded, steady};
+use super::{Sink, encoded_len, min_of_runs};
 use crate::{
     Error, Point, Probe, Quantity,
     fake::{
@@ -21,17 +21,17 @@
 
 const ENDPOINTS: [usize; 3] = [50, 633, 1_900];
 
-/// Times that capacity is lent and returned.
+/// Number of times that capacity is lent and returned.
 const ROUNDS: u64 = 10;
 
-/// Firms that a wish names at most.
-const FIRMS: usize = 64;
+/// Firms that the largest measured capacity request names.
+const REQUEST_FIRMS: usize = 64;
 
-/// The pool of all workers, as messages name it.
+/// Service id that stands for the pool of all workers in messages.
 const WORKERS: ServiceId = ServiceId(0);
 
-/// Tasks of these needs that fit on one worker.
-const PER_WORKER: u32 = 64;
+/// Tasks with these [`NEEDS`] that fit on one worker.
+const TASKS_PER_WORKER: u32 = 64;
 
 const NEEDS: Resources = Resources {
     slots: Slots(1),
@@ -41,7 +41,7 @@
 };
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
-    ENDPOINTS.into_iter().try_for_each(|endpoints| sink(steady(|| point(endpoints))?))
+    ENDPOINTS.into_iter().try_for_each(|endpoints| sink(min_of_runs(|| point(endpoints))?))
 }
 
 fn point(endpoints: usize) -> Result<Point, Error> {
@@ -49,8 +49,8 @@
     let (mut grants, mut time, mut bytes) = (0, 0.0, 0.0);
     for round in 1..=ROUNDS {
         let now = Time(1) + Span::from_millis(10 * round);
-        let wanted = endpoints as u32 * PER_WORKER / 2;
-        let want = Message::CapacityRequest(CapacityRequest {
+        let wanted = endpoints as u32 * TASKS_PER_WORKER / 2;
+        let request = Message::CapacityRequest(CapacityRequest {
             service: WORKERS,
             tasks: wanted,
             held: 0,
@@ -59,19 +59,19 @@
         });
         let mut out = Vec::new();
         let (lent, spent) = timed(|| {
-            let message = want.clone();
+            let message = request.clone();
             keeper.handle(now, Event::Message { from: borrower, message }, &mut out);
-            lends(&out)
+            lent_grants(&out)
         });
         time += spent;
         grants += lent.len();
-        let back = Message::Return(ServiceGrants { service: WORKERS, grants: lent });
+        let returned = Message::Return(ServiceGrants { service: WORKERS, grants: lent });
         let sent = out.iter().filter_map(|action| match action {
             Action::Send { message, .. } => Some(message),
             _ => None,
         });
-        bytes += encoded(sent)? + encoded([&want, &back])?;
-        let message = back;
+        bytes += encoded_len(sent)? + encoded_len([&request, &returned])?;
+        let message = returned;
         let now = now + Span::from_millis(5);
         time +=
             timed(|| keeper.handle(now, Event::Message { from: borrower, message }, &mut out)).1;
@@ -84,15 +84,15 @@
     let values = [
         (Quantity::CpuNs, time / each),
         (Quantity::WireBytes, bytes / each),
-        (Quantity::WishBytes, encoded([&wish()])?),
+        (Quantity::WishBytes, encoded_len([&largest_request()])?),
     ];
     Ok(Point::new(Probe::Lend, endpoints, values))
 }
 
-/// The longest wish.
-fn wish() -> Message {
+/// Returns the largest capacity request of the measurement.
+fn largest_request() -> Message {
     let demand = |number| Demand { firm: FirmId::of(&folder::firm(number)), jobs: 3 };
-    let demand = (0..FIRMS).map(demand).collect();
+    let demand = (0..REQUEST_FIRMS).map(demand).collect();
     Message::CapacityRequest(CapacityRequest {
         service: WORKERS,
         tasks: 500,
@@ -102,7 +102,7 @@
     })
 }
 
-fn lends(actions: &[Action]) -> Vec<Grant> {
+fn lent_grants(actions: &[Action]) -> Vec<Grant> {
     let lent = actions.iter().filter_map(|action| match action {
         Action::Send { message: Message::Lend(lend), .. } => Some(&lend.grants),
         _ => None,
@@ -110,13 +110,13 @@
     lent.flatten().copied().collect()
 }
 
-/// An entry that keeps all endpoints, and one that keeps none.
+/// Returns an entry that keeps all endpoints, and the home of one that keeps none.
 fn pair(endpoints: usize) -> Result<(Entry, Home), Error> {
     let site = Folder { workers: endpoints, ..Folder::default() }.site()?;
     let homes = [home(0, 0), home(0, 1)];
     let keeps = |own: Home| {
         let entry = entry(own, site.clone(), u32::MAX);
-        peers::meet(&entry, Time(1), &homes, &mut Vec::new());
+        peers::connect(&entry, Time(1), &homes, &mut Vec::new());
         (entry.leads() == [own]).then_some(entry)
     };
     let found = homes.iter().find_map(|own| Some((keeps(*own)?, *own)));
--- a/capacity/src/probe/log.rs
+++ b/capacity/src/probe/log.rs
@@ -1,6 +1,6 @@
-//! Lines of the decision log.
+//! Measures writing lines of the decision log.
 
-use super::{Sink, steady};
+use super::{Sink, min_of_runs};
 use crate::{Error, Point, Probe, Quantity, fake::load::home, measure::process_time};
 use dispatch::{Decision, action::Source};
 use site::{
@@ -17,13 +17,13 @@
 use telemetry::Level;
 use uuid::Uuid;
 
-/// Lines at one time; fewer than the log holds.
+/// Numbers of lines logged in one burst; fewer than the log buffers.
 const LINES: [usize; 3] = [500, 4_000, 15_000];
 
-/// Times that these are written.
+/// Number of times that each burst is written.
 const ROUNDS: usize = 4;
 
-/// Counts what is written to it.
+/// Writer that counts the bytes written to it.
 struct Counter(Arc<AtomicU64>);
 
 impl Write for Counter {
@@ -38,7 +38,7 @@
 }
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
-    LINES.into_iter().try_for_each(|lines| sink(steady(|| point(lines))?))
+    LINES.into_iter().try_for_each(|lines| sink(min_of_runs(|| point(lines))?))
 }
 
 fn point(lines: usize) -> Result<Point, Error> {
@@ -46,7 +46,7 @@
     for _ in 0..ROUNDS {
         let (log, guard) = telemetry::start(Counter(bytes.clone()), Level::Info)?;
         let before = process_time();
-        (0..lines).for_each(|number| log.log_decision(Time(number as u64), place(number)));
+        (0..lines).for_each(|number| log.log_decision(Time(number as u64), place_decision(number)));
         drop(guard);
         spent += process_time() - before;
         if log.dropped() > 0 {
@@ -62,7 +62,7 @@
     Ok(Point::new(Probe::LogLine, lines, values))
 }
 
-fn place(number: usize) -> Decision {
+fn place_decision(number: usize) -> Decision {
     let unique = Uuid::from_u64_pair(number as u64, u64::MAX);
     let submission = SubmissionId { token: Token { home: home(0, 0), epoch: 100 }, unique };
     Decision::Place {
--- a/capacity/src/probe/mod.rs
+++ b/capacity/src/probe/mod.rs
@@ -1,4 +1,4 @@
-//! The measurements.
+//! The probes, each of which measures one part of an entry at several sizes.
 
 mod call;
 mod claim;
@@ -19,15 +19,15 @@
 use dispatch::Message;
 use wire::{Frame, Limit};
 
-/// Takes measurements as they are made.
+/// Callback that receives each measurement as soon as it is taken.
 pub type Sink<'a> = dyn FnMut(Point) -> Result<(), Error> + 'a;
 
-/// Makes every measurement.
+/// Runs all probes.
 ///
 /// # Errors
 ///
-/// When one can't be made, or `sink` fails.
-pub fn all(sink: &mut Sink<'_>) -> Result<(), Error> {
+/// Returns an error if a measurement fails or `sink` does.
+pub fn run_all(sink: &mut Sink<'_>) -> Result<(), Error> {
     table::measure(sink)?;
     start::measure(sink)?;
     forward::measure(sink)?;
@@ -44,11 +44,12 @@
     connection::measure(sink)
 }
 
-/// Runs of one measurement.
+/// Number of runs of one measurement.
 const RUNS: usize = 3;
 
-/// The least of each value over a few runs: other load on the machine only ever adds to them.
-fn steady(measure: impl Fn() -> Result<Point, Error>) -> Result<Point, Error> {
+/// Returns the minimum of each value over a few runs, since other load on the machine only adds to
+/// them.
+fn min_of_runs(measure: impl Fn() -> Result<Point, Error>) -> Result<Point, Error> {
     let mut best = measure()?;
     for _ in 1..RUNS {
         for (quantity, value) in measure()?.values {
@@ -58,14 +59,14 @@
     Ok(best)
 }
 
-/// The message as it goes over a connection.
+/// Encodes a message as it is sent over a connection.
 fn encode(message: &Message) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
     Frame::new(message.clone()).encode(Limit::default(), &mut bytes)?;
     Ok(bytes)
 }
 
-/// Encoded bytes of `messages`.
-fn encoded<'a>(messages: impl IntoIterator<Item = &'a Message>) -> Result<f64, Error> {
+/// Returns the total encoded_len length of `messages` in bytes.
+fn encoded_len<'a>(messages: impl IntoIterator<Item = &'a Message>) -> Result<f64, Error> {
     messages.into_iter().map(|message| Ok(encode(message)?.len() as f64)).sum()
 }
--- a/capacity/src/probe/request.rs
+++ b/capacity/src/probe/request.rs
@@ -1,10 +1,11 @@
-//! Submissions over the callers' interface, from the first byte to the answer's last.
+//! Measures submissions over the callers' interface, from the first byte of the request to the last
+//! of the answer.
 
-use super::{Sink, steady};
+use super::{Sink, min_of_runs};
 use crate::{
     Error, Point, Probe, Quantity,
     fake::{
-        backend::Prompt,
+        backend::ImmediateBackend,
         folder::{CHECK, Folder},
     },
     measure::{process_time, thread_time},
@@ -20,20 +21,22 @@
 
 const TASKS: [usize; 4] = [1, 25, 125, 780];
 
-/// Tasks of one measurement, together; at least [`LEAST`] submissions.
-const TOTAL: usize = 20_000;
-const LEAST: usize = 200;
+/// Total tasks of one measurement, if that makes [`MIN_SUBMISSIONS`] submissions or more.
+const TOTAL_TASKS: usize = 20_000;
 
-/// Submissions before it.
-const WARM_UP: usize = 50;
+/// Least number of submissions of one measurement.
+const MIN_SUBMISSIONS: usize = 200;
+
+/// Submissions before the measurement.
+const WARM_UP_SUBMISSIONS: usize = 50;
 
 const KEY: &str = "the key of a caller";
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
-    TASKS.into_iter().try_for_each(|tasks| sink(steady(|| point(tasks))?))
+    TASKS.into_iter().try_for_each(|tasks| sink(min_of_runs(|| point(tasks))?))
 }
 
-/// The caller runs on this thread; its time is not counted.
+/// Measures the server. The caller runs on this thread, whose time is not counted.
 fn point(tasks: usize) -> Result<Point, Error> {
     let server = block_on(start())?;
     let request = request(tasks);
@@ -48,8 +51,8 @@
         }
         Ok(done)
     };
-    submit(WARM_UP)?;
-    let count = (TOTAL / tasks).max(LEAST);
+    submit(WARM_UP_SUBMISSIONS)?;
+    let count = (TOTAL_TASKS / tasks).max(MIN_SUBMISSIONS);
     let before = process_time() - thread_time();
     let found = submit(count)?;
     let spent = process_time() - thread_time() - before;
@@ -72,7 +75,7 @@
     files.insert("60-caller.json".into(), caller.to_string().into());
     let site = Arc::new(settings::parse(&files)?.site);
     let address = ([127, 0, 0, 1], 0).into();
-    Ok(Server::start(address, Arc::new(Prompt { site }), Options::default()).await?)
+    Ok(Server::start(address, Arc::new(ImmediateBackend { site }), Options::default()).await?)
 }
 
 fn request(tasks: usize) -> Vec<u8> {
@@ -87,7 +90,7 @@
     [head.into_bytes(), body.into_bytes()].concat()
 }
 
-/// Reads an answer; whether it is a complete one.
+/// Reads an answer and returns whether it is complete.
 fn is_answered(reader: &mut impl BufRead) -> Result<bool, Error> {
     let (mut length, mut complete) = (0, false);
     let mut line = String::new();
--- a/capacity/src/probe/settings.rs
+++ b/capacity/src/probe/settings.rs
@@ -1,4 +1,4 @@
-//! A change of the settings.
+//! Measures a change of the settings.
 
 use super::{Sink, encode};
 use crate::{
@@ -7,9 +7,9 @@
         folder::{self, Folder, Style},
         load::{entry, home},
         peers,
-        store::Memory,
+        store::MemoryStore,
     },
-    measure::{least, timed, weighed},
+    measure::{min_time, timed, with_heap_growth},
 };
 use bytes::Bytes;
 use dispatch::{Entry, Event, Message, message::Settings};
@@ -21,14 +21,14 @@
 use uuid::Uuid;
 use wire::{Frame, frame::PREFIX_BYTES};
 
-/// Data centres, workers, firms.
+/// Numbers of data centres, workers and firms.
 const SIZES: [(usize, usize, usize); 3] = [(3, 50, 4), (9, 570, 63), (9, 5_700, 630)];
 
-/// Entries that are live.
-const ENTRIES: usize = 3;
+/// Live entries in each data centre.
+const ENTRIES_PER_DATA_CENTRE: usize = 3;
 
-/// Accepted changes: as many as a manifest remembers.
-const HISTORY: u64 = 64;
+/// Number of accepted changes: as many as a manifest remembers.
+const ACCEPTED_CHANGES: u64 = 64;
 
 const RUNS: usize = 5;
 
@@ -46,19 +46,19 @@
 }
 
 fn point(probe: Probe, folder: &Folder) -> Result<Point, Error> {
-    let (files, stored) = weighed(|| folder.files());
-    let (checked, described) = weighed(|| settings::parse(&files));
+    let (files, stored) = with_heap_growth(|| folder.files());
+    let (checked, described) = with_heap_growth(|| settings::parse(&files));
     let site = Arc::new(checked?.site);
-    let parse = least(RUNS, || settings::parse(&files).is_ok());
-    let (changed, change) = change(&files);
-    let diff = least(RUNS, || settings::diff(&files, &changed).len());
+    let parse = min_time(RUNS, || settings::parse(&files).is_ok());
+    let (changed, change) = change_weight(&files);
+    let diff = min_time(RUNS, || settings::diff(&files, &changed).len());
     let entry = entry(home(0, 0), site.clone(), 1);
-    let homes = peers::homes(folder.data_centres, ENTRIES);
-    peers::meet(&entry, Time(1), &homes, &mut Vec::new());
-    let message = passed_on(&files, Revision(0));
-    let delta = passed_on(&changed_file(&changed), Revision(1_000_000));
+    let homes = peers::homes(folder.data_centres, ENTRIES_PER_DATA_CENTRE);
+    peers::connect(&entry, Time(1), &homes, &mut Vec::new());
+    let message = settings_message(&files, Revision(0));
+    let delta = settings_message(&changed_file(&changed), Revision(1_000_000));
     let frame = encode(&message)?;
-    let codec = least(RUNS, || -> Result<Frame, Error> {
+    let codec = min_time(RUNS, || -> Result<Frame, Error> {
         Ok(Frame::decode(&encode(&message)?[PREFIX_BYTES..])?)
     });
     let values = [
@@ -77,10 +77,10 @@
     Ok(Point::new(probe, folder.workers, values.into_iter().chain(accepted)))
 }
 
-/// The same with another weight for one firm, and the length of its file.
-fn change(files: &Files) -> (Files, usize) {
+/// Returns the files with another weight for one firm, and the length of that firm's file.
+fn change_weight(files: &Files) -> (Files, usize) {
     let mut changed = files.clone();
-    let name = changed_name();
+    let name = changed_file_name();
     let before = changed.get(name.as_str()).cloned().unwrap_or_default();
     let text = String::from_utf8_lossy(&before).replacen("\"weight\": 2", "\"weight\": 3", 1);
     let length = text.len();
@@ -88,27 +88,28 @@
     (changed, length)
 }
 
-/// What an entry sends to one that has `base`; 0 for nothing.
-fn passed_on(files: &Files, base: Revision) -> Message {
+/// Returns the message that an entry sends to a peer with revision `base`; 0 if it has no settings.
+fn settings_message(files: &Files, base: Revision) -> Message {
     let files = files.iter().map(|(name, text)| (name.to_string(), text.to_vec())).collect();
     let revision = Revision(1_000_001);
     Message::Settings(Settings { revision, base, part: 0, last: true, files, removed: vec![] })
 }
 
-/// The file that [`change`] changes.
+/// Returns only the file that [`change_weight`] changes.
 fn changed_file(files: &Files) -> Files {
     files
         .iter()
-        .filter(|(name, _)| **name == changed_name())
+        .filter(|(name, _)| **name == changed_file_name())
         .map(|(n, t)| (n.clone(), t.clone()))
         .collect()
 }
 
-fn changed_name() -> String {
+fn changed_file_name() -> String {
     format!("50-{}.json", folder::firm(1))
 }
 
-/// Index, pools and keepers.
+/// Returns the least processor time, in nanoseconds, of putting parsed settings into force: index,
+/// pools and keepers.
 fn adopt(entry: &Entry, site: &Arc<site::Site>) -> f64 {
     let mut least = f64::INFINITY;
     let mut out = Vec::new();
@@ -120,11 +121,12 @@
     least
 }
 
-/// Has the store accept `files` and then changes between `files` and `changed`.
+/// Writes `files` to the store, then alternates between `changed` and `files`, and returns the sizes
+/// and calls of the last change.
 fn accept(files: &Files, changed: &Files) -> Result<[(Quantity, f64); 3], Error> {
-    let store = Memory::default();
+    let store = MemoryStore::default();
     let mut before = 0;
-    for revision in 0..HISTORY {
+    for revision in 0..ACCEPTED_CHANGES {
         before = store.calls();
         let files = if revision % 2 == 0 { files } else { changed };
         let change = Uuid::from_u64_pair(revision, u64::MAX);
--- a/capacity/src/probe/table.rs
+++ b/capacity/src/probe/table.rs
@@ -1,4 +1,4 @@
-//! Memory of queued tasks and of finished answers.
+//! Measures the memory of queued tasks and of finished submissions.
 
 use super::Sink;
 use crate::{
@@ -7,14 +7,14 @@
         folder::{CHECK, Folder},
         load::{Load, entry, home},
     },
-    measure::{heap, timed, weighed},
+    measure::{heap, timed, with_heap_growth},
 };
 use site::unit::Span;
 
 const TASKS: [usize; 4] = [1, 25, 125, 780];
 
-/// Tasks of one measurement, together.
-const TOTAL: usize = 50_000;
+/// Total tasks of one measurement.
+const TOTAL_TASKS: usize = 50_000;
 
 pub(super) fn measure(sink: &mut Sink<'_>) -> Result<(), Error> {
     for tasks in TASKS {
@@ -26,11 +26,11 @@
     Ok(())
 }
 
-/// The memory includes the submissions themselves, without bodies.
+/// Measures the memory of a queued task, including its part of the submission without bodies.
 fn open(tasks: usize) -> Result<Point, Error> {
     let site = Folder { executors: 1, ..Folder::default() }.site()?;
     let mut load = Load::new(entry(home(0, 0), site, u32::MAX), CHECK, 4);
-    let jobs = TOTAL / tasks;
+    let jobs = TOTAL_TASKS / tasks;
     let before = heap();
     let submissions = load.prepare(vec![tasks; jobs]);
     load.run(submissions, Span::ZERO);
@@ -43,15 +43,15 @@
     Ok(Point::new(Probe::OpenTask, tasks, [(Quantity::HeapBytes, per_task)]))
 }
 
-/// Memory of one submission that is answered. The time that forgetting it takes comes with it.
+/// Measures the memory of an answered submission, and the processor time of forgetting it.
 fn finished(tasks: usize) -> Result<Point, Error> {
     let site = Folder { executors: 100, ..Folder::default() }.site()?;
     let mut load = Load::new(entry(home(0, 0), site, u32::MAX), CHECK, 4);
-    let jobs = TOTAL / tasks;
+    let jobs = TOTAL_TASKS / tasks;
     let warm = load.prepare(vec![tasks; 4]);
     load.run(warm, Span::from_millis(1));
     load.finish_all();
-    let ((), grown) = weighed(|| {
+    let ((), grown) = with_heap_growth(|| {
         let submissions = load.prepare(vec![tasks; jobs]);
         load.run(submissions, Span(1_000));
         load.finish_all();
--- a/capacity/src/slope.rs
+++ b/capacity/src/slope.rs
@@ -1,96 +1,97 @@
-//! Measurements at several sizes, and what they give in between.
+//! Measurements at several sizes, and linear interpolation between them.
 
 use crate::{Error, Machine};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, io::BufRead};
 
-/// What is measured. The comment tells what its size counts.
+/// Kind of measurement. Each comment says what is measured and what `size` counts.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Probe {
     /// Queued tasks; size: tasks of each job.
     OpenTask,
-    /// Finished submissions in the table; size: tasks of each.
+    /// Finished submissions in the table; size: tasks of each submission.
     FinishedAnswer,
-    /// Tasks from submission to answer; size: tasks of each job.
+    /// Tasks from submission to answer, by job size; size: tasks of each job.
     Start,
-    /// The same; size: endpoints that the entry keeps.
+    /// Tasks from submission to answer; size: endpoints that the entry keeps.
     StartByEndpoints,
-    /// The same; size: firms.
+    /// Tasks from submission to answer; size: firms.
     StartByFirms,
-    /// Submissions that are sent on; size: tasks of each.
+    /// Submissions forwarded to their home; size: tasks of each.
     Forward,
-    /// Capacity lent and returned; size: endpoints that the keeper keeps.
+    /// Capacity lent and returned; size: endpoints of the keeper.
     Lend,
     /// Endpoints in an entry; size: endpoints.
     Endpoint,
     /// Firms with a quota in an entry; size: firms.
     Firm,
-    /// Heartbeats of an entry that places tasks; size: entries of the site.
+    /// Heartbeats of a lead entry; size: entries of the site.
     Lead,
-    /// Heartbeats of an entry that does not; size: entries of the site.
+    /// Heartbeats of an entry that places no tasks; size: entries of the site.
     Other,
-    /// Exchange of usage of firms with quotas; size: live entries that are told.
+    /// Exchange of usage of firms with quotas; size: live entries that receive it.
     Usage,
     /// Settings with numbered names; size: workers.
     Settings,
-    /// Settings with every worker written out; size: workers.
+    /// Settings with every worker listed by itself; size: workers.
     WrittenOut,
-    /// One claim on a key; size: claims that its document holds.
+    /// One key claim; size: claims that its document holds.
     Claim,
     /// Handover of a table; size: tasks of each submission in it.
     Handover,
-    /// Connections with heartbeats; size: connections.
+    /// Connections between entries that carry heartbeats; size: connections.
     Connection,
-    /// Calls of endpoints; size: calls at one time.
+    /// Calls of endpoints; size: concurrent calls.
     Call,
-    /// Submissions over the callers' interface; size: tasks of each.
+    /// Submissions over the callers' interface; size: tasks of each submission.
     Request,
-    /// Lines of the decision log; size: lines at one time.
+    /// Lines of the decision log; size: lines logged in one burst.
     LogLine,
 }
 
-/// A quantity of a measurement.
+/// Quantity of a measurement. "Per item" refers to what the probe measures: one task, submission,
+/// endpoint, message or call.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
-    /// Processor time of one, in nanoseconds.
+    /// Processor time per item, in nanoseconds.
     CpuNs,
-    /// Processor time of parsing, in nanoseconds.
+    /// Processor time of parsing the settings folder, in nanoseconds.
     ParseNs,
-    /// Processor time of comparing two folders, in nanoseconds.
+    /// Processor time of comparing two settings folders, in nanoseconds.
     DiffNs,
-    /// Processor time of taking over parsed settings, in nanoseconds.
+    /// Processor time of putting parsed settings into force, in nanoseconds.
     AdoptNs,
-    /// Processor time of a change of members, in nanoseconds.
+    /// Processor time of reassigning endpoints after a change of members, in nanoseconds.
     RekeyNs,
     /// Processor time of encoding and decoding, in nanoseconds.
     CodecNs,
     /// Processor time of a small message over a connection, both ends together, in nanoseconds.
     MessageNs,
-    /// Memory of one, in bytes.
+    /// Memory per item, in bytes.
     HeapBytes,
-    /// Encoded messages for one, in bytes.
+    /// Encoded messages per item, in bytes.
     WireBytes,
-    /// Encoded bytes of one second.
+    /// Encoded messages per second, in bytes.
     WireBytesPerSecond,
-    /// UDP payload that one end sends in a second, in bytes.
+    /// UDP payload that one end sends per second, in bytes.
     UdpBytesPerSecond,
-    /// Processor time of one second, in nanoseconds.
+    /// Processor time per second, in nanoseconds.
     CpuNsPerSecond,
-    /// Bytes of a wish for capacity that names 64 firms.
+    /// Encoded bytes of a capacity request that names 64 firms.
     WishBytes,
-    /// Messages for one.
+    /// Messages per item.
     Messages,
-    /// Heartbeats sent in one second.
+    /// Heartbeats sent per second.
     BeatsPerSecond,
-    /// Calls to the platform's service for one.
+    /// Calls to the platform's service per item.
     Calls,
-    /// Files in the folder.
+    /// Files in the settings folder.
     Files,
-    /// Bytes of the folder.
+    /// Bytes of the settings folder.
     FolderBytes,
-    /// Bytes of the manifest.
+    /// Bytes of the settings manifest.
     ManifestBytes,
     /// Bytes of the document with the last changes.
     ChangesBytes,
@@ -98,23 +99,23 @@
     ChangeBytes,
     /// Encoded bytes of a change of one file.
     DeltaBytes,
-    /// Bytes of a document.
+    /// Bytes of a claim document.
     DocumentBytes,
 }
 
-/// One measurement.
+/// Measurement of one probe at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// By what.
+    /// Probe that took the measurement.
     pub probe: Probe,
-    /// At which size.
+    /// Size at which it was taken; see [`Probe`] for the unit.
     pub size: u64,
-    /// What was measured.
+    /// Measured values by quantity.
     pub values: BTreeMap<Quantity, f64>,
 }
 
 impl Point {
-    /// A measurement of `values`.
+    /// Creates a measurement of `values`.
     pub fn new(
         probe: Probe,
         size: usize,
@@ -124,31 +125,31 @@
     }
 }
 
-/// A line of what `capacity slopes` prints.
+/// Line of the output of `capacity slopes`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "kebab-case")]
 pub enum Line {
-    /// Where it was measured.
+    /// Machine that the measurements were taken on.
     Machine(Machine),
-    /// A measurement.
+    /// One measurement.
     Point(Point),
 }
 
 /// All measurements of one run.
 #[derive(Clone, Debug)]
 pub struct Slopes {
-    /// Where they were made.
+    /// Machine that they were taken on.
     pub machine: Machine,
-    /// In the order of the run.
+    /// Measurements in the order of the run.
     pub points: Vec<Point>,
 }
 
 impl Slopes {
-    /// Reads what `capacity slopes` printed.
+    /// Reads the output of `capacity slopes`.
     ///
     /// # Errors
     ///
-    /// When a line can't be read, or none describes the machine.
+    /// Returns an error if a line can't be read or parsed, or if none describes the machine.
     pub fn read(lines: impl BufRead) -> Result<Slopes, Error> {
         let (mut machine, mut points) = (None, Vec::new());
         for line in lines.lines() {
@@ -160,12 +161,12 @@
         Ok(Slopes { machine: machine.ok_or(Error::NoMachine)?, points })
     }
 
-    /// The value at `size`, on the straight lines between the sizes that were measured. Beyond
-    /// them the last line is prolonged.
+    /// Returns the value at `size`, interpolated linearly between the measured sizes and extrapolated
+    /// from the outermost two beyond them.
     ///
     /// # Errors
     ///
-    /// When fewer than two sizes were measured.
+    /// Returns [`Error::Missing`] when fewer than two sizes were measured.
     pub fn at(&self, probe: Probe, quantity: Quantity, size: f64) -> Result<f64, Error> {
         let points = self.points.iter().filter(|point| point.probe == probe);
         let value = |point: &Point| Some((point.size as f64, *point.values.get(&quantity)?));
