--- a/capacity/src/error.rs
+++ b/capacity/src/error.rs
@@ -36,8 +36,8 @@
     /// A batch of key claims could not be committed.
     #[display("{_0}")]
     Claim(platform::claim::Error),
-    /// The measurements lack a quantity that the page needs, or have it at fewer than two sizes. Measure
-    /// again with this version.
+    /// The measurements lack a quantity that the page needs, or have it at fewer than two sizes.
+    /// Measure again with this version.
     #[display("no measurement of {quantity:?} by the probe {probe:?}; run `capacity slopes` again")]
     #[from(skip)]
     Missing {
--- a/capacity/src/fake/load.rs
+++ b/capacity/src/fake/load.rs
@@ -1,5 +1,5 @@
-//! Load on one entry in virtual time: jobs at a fixed rate, and endpoints that answer each task after
-//! its run time.
+//! Load on one entry in virtual time: jobs at a fixed rate, and endpoints that answer each task
+//! after its run time.
 
 use crate::fake::folder;
 use bytes::Bytes;
--- a/capacity/src/lib.rs
+++ b/capacity/src/lib.rs
@@ -1,5 +1,5 @@
-//! Measures the processor time, memory and bytes that the parts of an entry cost, in one process, and
-//! computes from that the costs of each role at the size to design for.
+//! Measures the processor time, memory and bytes that the parts of an entry cost, in one process,
+//! and computes from that the costs of each role at the size to design for.
 
 pub mod error;
 pub mod fake;
--- a/capacity/src/main.rs
+++ b/capacity/src/main.rs
@@ -1,5 +1,5 @@
-//! Measures what the parts of an entry cost, and computes from that what each role costs at the size
-//! to design for.
+//! Measures what the parts of an entry cost, and computes from that what each role costs at the
+//! size to design for.
 
 mod cli;
 mod cmd;
--- a/capacity/src/measure.rs
+++ b/capacity/src/measure.rs
@@ -17,8 +17,8 @@
     nanoseconds(ClockId::ProcessCPUTime)
 }
 
-/// Returns the bytes requested from the allocator and not freed. The allocator's own overhead is not
-/// included.
+/// Returns the bytes requested from the allocator and not freed. The allocator's own overhead is
+/// not included.
 pub fn heap() -> f64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as f64 - stats.bytes_deallocated as f64
--- a/capacity/src/page/model.rs
+++ b/capacity/src/page/model.rs
@@ -220,8 +220,8 @@
         (self.entries_per_data_centre() - WATCHERS_PER_DATA_CENTRE).max(0.0).ceil()
     }
 
-    /// Memory of all control, in bytes. Every entry holds the whole settings, so each is counted as if
-    /// it kept every endpoint.
+    /// Memory of all control, in bytes. Every entry holds the whole settings, so each is counted as
+    /// if it kept every endpoint.
     pub(super) fn control_heap(&self) -> Result {
         let endpoints = self.size.workers + self.size.executors;
         let per_endpoint = self.at(Probe::Endpoint, Quantity::HeapBytes, endpoints.min(5_700.0))?;
@@ -249,8 +249,8 @@
         self.at(Probe::LogLine, Quantity::CpuNs, 4_000.0)
     }
 
-    /// Processor time of a submission apart from its tasks, in nanoseconds: the caller's interface at
-    /// the entry that it reaches, and forwarding to its home.
+    /// Processor time of a submission apart from its tasks, in nanoseconds: the caller's interface
+    /// at the entry that it reaches, and forwarding to its home.
     pub(super) fn submission_cpu(&self) -> Result {
         Ok(self.at(Probe::Request, Quantity::CpuNs, MEAN_JOB_TASKS)? + self.forward_cpu()?)
     }
--- a/capacity/src/page/platform.rs
+++ b/capacity/src/page/platform.rs
@@ -12,8 +12,8 @@
 /// Seconds between renewals of a registration.
 const RENEWAL_INTERVAL_SECS: f64 = 5.0;
 
-/// Calls of a new process besides those for its settings files: lease, read and write of its registration; lists and watches of entries
-/// and VMs.
+/// Calls of a new process besides those for its settings: lease, read and write of its
+/// registration; lists and watches of entries and VMs.
 const START_CALLS: f64 = 7.0;
 
 /// Settings files read by one call; the manifest takes one call more.
--- a/capacity/src/probe/mod.rs
+++ b/capacity/src/probe/mod.rs
@@ -66,7 +66,7 @@
     Ok(bytes)
 }
 
-/// Returns the total encoded_len length of `messages` in bytes.
+/// Returns the total encoded length of `messages` in bytes.
 fn encoded_len<'a>(messages: impl IntoIterator<Item = &'a Message>) -> Result<f64, Error> {
     messages.into_iter().map(|message| Ok(encode(message)?.len() as f64)).sum()
 }
--- a/capacity/src/probe/settings.rs
+++ b/capacity/src/probe/settings.rs
@@ -121,8 +121,8 @@
     least
 }
 
-/// Writes `files` to the store, then alternates between `changed` and `files`, and returns the sizes
-/// and calls of the last change.
+/// Writes `files` to the store, then alternates between `changed` and `files`, and returns the
+/// sizes and calls of the last change.
 fn accept(files: &Files, changed: &Files) -> Result<[(Quantity, f64); 3], Error> {
     let store = MemoryStore::default();
     let mut before = 0;
--- a/capacity/src/probe/usage.rs
+++ b/capacity/src/probe/usage.rs
@@ -82,8 +82,8 @@
     Ok(Point::new(Probe::Usage, homes.len() - 1, values))
 }
 
-/// Returns the sizes of jobs with at least `total` tasks in all: two of five are single tasks, the others spread evenly
-/// over the orders of magnitude from 5 to 780.
+/// Returns the sizes of jobs with at least `total` tasks in all: two of five are single tasks, the
+/// others spread evenly over the orders of magnitude from 5 to 780.
 fn job_sizes(random: &mut impl Rng, total: usize) -> Vec<usize> {
     let mut jobs = Vec::new();
     let mut left = total as i64;
--- a/capacity/src/slope.rs
+++ b/capacity/src/slope.rs
@@ -50,8 +50,8 @@
     LogLine,
 }
 
-/// Quantity of a measurement. "Per item" refers to what the probe measures: one task, submission,
-/// endpoint, message or call.
+/// Quantity of a measurement. "Per item" means for one of what the probe measures, such as a task,
+/// a key claim or a settings folder.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
@@ -161,8 +161,8 @@
         Ok(Slopes { machine: machine.ok_or(Error::NoMachine)?, points })
     }
 
-    /// Returns the value at `size`, interpolated linearly between the measured sizes and extrapolated
-    /// from the outermost two beyond them.
+    /// Returns the value at `size`, interpolated linearly between the measured sizes and
+    /// extrapolated from the outermost two beyond them.
     ///
     /// # Errors
     ///
