--- a/benches/baselines/mod.rs
+++ b/benches/baselines/mod.rs
@@ -1,5 +1,5 @@
-//! What entries may run instead of the decision logic: rules without any message between entries,
-//! and one that has each executor's slots counted by one entry.
+//! Baseline policies that entries run instead of the decision logic: rules without messages between
+//! entries, and one in which a single entry counts the slots of each executor.
 
 use crate::{
     case::Case,
@@ -27,17 +27,17 @@
     sync::Arc,
 };
 
-/// A refused task is tried again after this, unless one of the entry's tasks ends before.
-const RETRY: Span = Span::from_millis(5);
-/// Waiting tasks that are tried at a time.
-const TRIES: usize = 8;
+/// Delay after which a refused task is retried, unless one of the entry's tasks ends earlier.
+const RETRY_DELAY: Span = Span::from_millis(5);
+/// Maximum number of queued tasks that are started when the retry timer fires.
+const MAX_TASKS_PER_RETRY: usize = 8;
 
-/// How tasks come to endpoints.
+/// The rule by which tasks are placed on endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Policy {
-    /// The decision logic: few entries place.
+    /// The decision logic with few entries that place tasks.
     Chosen,
-    /// The decision logic with all entries placing, on kept and lent slots.
+    /// The decision logic with all entries placing tasks, on kept and lent slots.
     Lending,
     /// Each executor's slots are counted by one entry, to which the others send batches of tasks.
     Batches,
@@ -45,11 +45,11 @@
     RoundRobin,
     /// Of two random endpoints, the one with fewer own tasks.
     TwoChoices,
-    /// The endpoint with fewest own tasks.
+    /// The endpoint with the fewest own tasks.
     LeastLoaded,
 }
 
-/// What an entry runs.
+/// The placement logic of an entry.
 pub(crate) enum Logic {
     Dispatch(Box<Entry>),
     Baseline(Box<Baseline>),
@@ -87,11 +87,11 @@
     pub(crate) fn next_timer(&self) -> Time {
         match self {
             Logic::Dispatch(entry) => entry.next_timer(),
-            Logic::Baseline(baseline) => baseline.retry,
+            Logic::Baseline(baseline) => baseline.retry_at,
         }
     }
 
-    /// The token that callers make identifiers with.
+    /// Returns the token from which callers build submission identifiers.
     pub(crate) fn token(&self) -> Token {
         match self {
             Logic::Dispatch(entry) => entry.token(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// An entry that places tasks for others.
+    /// Returns the first lead entry, which places tasks for others; `None` for a baseline.
     pub(crate) fn lead(&self) -> Option<Home> {
         match self {
             Logic::Dispatch(entry) => entry.leads().first().copied(),
@@ -108,7 +108,8 @@
     }
 }
 
-/// The job of a task in the driver, and its place there; batches hold a part of a job.
+/// Returns the driver's job number of a task and its index in that job. The index differs from the
+/// one in the submission when a batch holds only some tasks of the job.
 pub(crate) fn job_index(submission: &Submission, index: u16) -> (usize, usize) {
     let (_, job) = submission.id.unique.as_u64_pair();
     let body = &submission.tasks[usize::from(index)].body;
@@ -116,19 +117,19 @@
     (job as usize, index)
 }
 
-/// Who waits for a job or a batch.
+/// The receiver of the answer to a job or batch.
 #[derive(Clone, Copy)]
 enum Waiter {
     Caller(WaiterId),
     Peer(Home, u64),
 }
 
-/// A job, or the batch of one that was sent here.
+/// A job of a caller, or a batch of its tasks that another entry sent.
 struct Part {
     waiter: Waiter,
     submission: Arc<Submission>,
     /// Tasks without an output.
-    left: usize,
+    remaining: usize,
     deadline: Time,
 }
 
@@ -139,22 +140,23 @@
     endpoint: usize,
 }
 
-/// An entry that knows its own tasks only.
+/// A baseline entry, which knows only its own tasks.
 pub(crate) struct Baseline {
     policy: Policy,
     home: Home,
-    /// The entries, and how many endpoints and unanswered tasks of this entry each has.
+    /// Each entry with the number of its endpoints and of the tasks of this entry that it has not
+    /// answered.
     peers: Vec<(Home, usize, usize)>,
-    /// Endpoints that it may use, and its tasks on each of all.
-    own: Vec<usize>,
+    /// Indices of the endpoints that this entry may use; `loads` counts its tasks on every endpoint.
+    usable: Vec<usize>,
     loads: [u32; ENDPOINTS],
     parts: HashMap<u64, Part>,
     queue: VecDeque<(u64, u16)>,
     attempts: HashMap<AttemptId, Attempt>,
     sequence: u64,
-    turn: usize,
-    /// When waiting tasks are tried again.
-    retry: Time,
+    round_robin_index: usize,
+    /// Time at which queued tasks are retried.
+    retry_at: Time,
     random: ChaCha8Rng,
 }
 
@@ -165,7 +167,7 @@
         let kept = |home: &Home| -> Vec<usize> {
             (0..ENDPOINTS).filter(|i| keeper(*i) == Some(*home)).collect()
         };
-        let own = match case.policy {
+        let usable = match case.policy {
             Policy::Batches => kept(&homes[i]),
             _ => (0..ENDPOINTS).collect(),
         };
@@ -174,14 +176,14 @@
             policy: case.policy,
             home: homes[i],
             peers: homes.iter().map(peer).collect(),
-            own,
+            usable,
             loads: [0; ENDPOINTS],
             parts: HashMap::new(),
             queue: VecDeque::new(),
             attempts: HashMap::new(),
             sequence: 0,
-            turn: i,
-            retry: Time::NEVER,
+            round_robin_index: i,
+            retry_at: Time::NEVER,
             random: ChaCha8Rng::seed_from_u64(case.seed ^ i as u64),
         }
     }
@@ -195,7 +197,7 @@
                 self.submit(now, Waiter::Peer(from, request), submission, out);
             }
             Event::Message { from, message: Message::Answered { request, answer } } => {
-                self.answered(from, request, &answer, out);
+                self.handle_answer(from, request, &answer, out);
             }
             Event::Report(report) => self.report(now, report, out),
             Event::Cancel { id, .. } => {
@@ -204,7 +206,7 @@
                     self.fail(part, Reason::Cancelled, out);
                 }
             }
-            Event::Tick if now >= self.retry => self.pump(now, TRIES, out),
+            Event::Tick if now >= self.retry_at => self.start_queued(now, MAX_TASKS_PER_RETRY, out),
             _ => {}
         }
     }
@@ -218,21 +220,21 @@
     ) {
         self.sequence += 1;
         let number = self.sequence;
-        let left = submission.tasks.len();
+        let remaining = submission.tasks.len();
         let deadline = now + submission.deadline;
-        let fresh = self.queue.is_empty();
+        let was_empty = self.queue.is_empty();
         match (self.policy, waiter) {
             (Policy::Batches, Waiter::Caller(_)) => self.distribute(number, &submission, out),
-            _ => self.queue.extend((0..left as u16).map(|index| (number, index))),
+            _ => self.queue.extend((0..remaining as u16).map(|index| (number, index))),
         }
-        self.parts.insert(number, Part { waiter, submission, left, deadline });
-        // Tasks that wait already go first.
-        if fresh || self.policy == Policy::Batches {
-            self.pump(now, usize::MAX, out);
+        self.parts.insert(number, Part { waiter, submission, remaining, deadline });
+        // Tasks that are already queued are started before new ones.
+        if was_empty || self.policy == Policy::Batches {
+            self.start_queued(now, usize::MAX, out);
         }
     }
 
-    /// Gives each task to the entry with the fewest unanswered ones for its endpoints.
+    /// Assigns each task to the entry with the fewest unanswered tasks per endpoint.
     fn distribute(&mut self, number: u64, submission: &Arc<Submission>, out: &mut Vec<Action>) {
         let mut batches = vec![Vec::new(); ENTRIES];
         let first = self.random.random_range(0..ENTRIES);
@@ -258,16 +260,16 @@
         }
     }
 
-    fn answered(&mut self, from: Home, part: u64, answer: &Answer, out: &mut Vec<Action>) {
+    fn handle_answer(&mut self, from: Home, part: u64, answer: &Answer, out: &mut Vec<Action>) {
         match answer {
             Answer::Complete(outputs) => self.complete(from, part, outputs.len(), out),
             Answer::Failed(failure) => self.fail(part, failure.reason, out),
         }
     }
 
-    /// Starts up to `tries` waiting tasks.
-    fn pump(&mut self, now: Time, tries: usize, out: &mut Vec<Action>) {
-        for _ in 0..tries {
+    /// Starts up to `max_tasks` queued tasks.
+    fn start_queued(&mut self, now: Time, max_tasks: usize, out: &mut Vec<Action>) {
+        for _ in 0..max_tasks {
             let Some((part, index)) = self.queue.front().copied() else { break };
             let Some(known) = self.parts.get(&part) else {
                 self.queue.pop_front();
@@ -277,22 +279,22 @@
                 self.fail(part, Reason::Deadline, out);
                 continue;
             }
-            let Some(endpoint) = self.choose() else { break };
+            let Some(endpoint) = self.choose_endpoint() else { break };
             self.queue.pop_front();
             self.start(part, index, endpoint, out);
         }
-        let waits = !self.queue.is_empty() && self.policy != Policy::Batches;
-        self.retry = if waits { now + RETRY } else { Time::NEVER };
+        let needs_retry = !self.queue.is_empty() && self.policy != Policy::Batches;
+        self.retry_at = if needs_retry { now + RETRY_DELAY } else { Time::NEVER };
     }
 
-    /// An endpoint that is not full of this entry's own tasks.
-    fn choose(&mut self) -> Option<usize> {
+    /// Chooses an endpoint whose slots are not all taken by this entry's own tasks.
+    fn choose_endpoint(&mut self) -> Option<usize> {
         let (loads, random) = (&self.loads, &mut self.random);
-        let open: Vec<_> = self.own.iter().copied().filter(|i| loads[*i] < SLOTS).collect();
-        self.turn += 1;
+        let open: Vec<_> = self.usable.iter().copied().filter(|i| loads[*i] < SLOTS).collect();
+        self.round_robin_index += 1;
         match self.policy {
             Policy::Random => open.choose(random).copied(),
-            Policy::RoundRobin => open.get(self.turn % open.len().max(1)).copied(),
+            Policy::RoundRobin => open.get(self.round_robin_index % open.len().max(1)).copied(),
             Policy::TwoChoices => {
                 let two = open.choose_multiple(random, 2);
                 two.min_by_key(|i| loads[**i]).copied()
@@ -329,25 +331,25 @@
             Reply::Done(_) => self.complete(self.home, part, 1, out),
             Reply::Refused(_) | Reply::NotSent => {
                 self.queue.push_front((part, index));
-                self.retry = self.retry.min(now + RETRY);
+                self.retry_at = self.retry_at.min(now + RETRY_DELAY);
                 return;
             }
             _ => self.fail(part, Reason::Endpoint, out),
         }
-        let tries = if self.policy == Policy::Batches { usize::MAX } else { 1 };
-        self.pump(now, tries, out);
+        let max_tasks = if self.policy == Policy::Batches { usize::MAX } else { 1 };
+        self.start_queued(now, max_tasks, out);
     }
 
-    /// Notes outputs that `from` got for a job or batch.
+    /// Records outputs that `from` received for a job or batch.
     fn complete(&mut self, from: Home, number: u64, outputs: usize, out: &mut Vec<Action>) {
         let Some(part) = self.parts.get_mut(&number) else { return };
-        part.left -= outputs;
+        part.remaining -= outputs;
         if matches!(part.waiter, Waiter::Caller(_)) {
             let peer = self.peers.iter_mut().find(|(home, ..)| *home == from);
             let tasks = &mut peer.expect("a known entry").2;
             *tasks = tasks.saturating_sub(outputs);
         }
-        if part.left == 0 {
+        if part.remaining == 0 {
             let count = part.submission.tasks.len();
             self.answer(number, Answer::Complete(vec![output(); count]), out);
         }
--- a/benches/policy/case.rs
+++ b/benches/policy/case.rs
@@ -1,16 +1,16 @@
-//! One case of the measurements: what is run, and what goes wrong.
+//! A case of the measurements: site, load, policy and injected faults.
 
 use crate::{
     baselines::Policy,
-    workload::{load::DEADLINE, model::Model},
+    workload::{load::JOB_DEADLINE, model::Model},
 };
 use clap::ValueEnum;
 use site::unit::{Span, Time};
 
-/// Time after the last deadline in which answers may still arrive.
-const GRACE: Span = Span::from_secs(10);
+/// Time after the last deadline during which answers may still arrive.
+const ANSWER_GRACE: Span = Span::from_secs(10);
 
-/// What goes wrong or is special.
+/// A fault or special condition of a case.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Fault {
     None,
@@ -36,18 +36,18 @@
     Fair,
     /// 5 executors are listed as leaving.
     Leaving,
-    /// The platform says nothing during the whole run, as in every other case.
+    /// The platform sends no events during the whole run, as in every other case.
     Platform,
 }
 
 impl Fault {
-    /// Whether it holds for the whole run.
-    pub(crate) fn lasts(self) -> bool {
+    /// Returns whether the fault is present for the whole run.
+    pub(crate) fn is_permanent(self) -> bool {
         matches!(self, Fault::Dead | Fault::BlackHoles | Fault::Stragglers)
     }
 }
 
-/// What is run.
+/// The configuration of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Case {
     pub(crate) model: Model,
@@ -59,14 +59,14 @@
 }
 
 impl Case {
-    /// When faults begin that do not last for the whole run.
-    pub(crate) fn middle(&self) -> Time {
+    /// Returns the time at which faults that are not present for the whole run begin.
+    pub(crate) fn fault_start(&self) -> Time {
         Time(self.length.0 / 2)
     }
 
-    /// When every job has its answer.
+    /// Returns the time by which every job has its answer.
     pub(crate) fn end(&self) -> Time {
-        Time(0) + self.length + DEADLINE + GRACE
+        Time(0) + self.length + JOB_DEADLINE + ANSWER_GRACE
     }
 
     pub(crate) fn site_label(&self) -> String {
@@ -78,9 +78,9 @@
         faults.join("+").to_lowercase()
     }
 
-    /// Factor on the rate of arrivals.
-    pub(crate) fn burst(&self, now: Time) -> f64 {
-        let from = self.middle();
+    /// Returns the factor on the arrival rate.
+    pub(crate) fn arrival_factor(&self, now: Time) -> f64 {
+        let from = self.fault_start();
         let inside = from <= now && now < from + Span::from_secs(1);
         if inside && self.faults.contains(&Fault::Burst) { 10.0 } else { 1.0 }
     }
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,4 +1,5 @@
-//! Measures the decision logic under load and faults in virtual time, and prints a row a case.
+//! Measures the decision logic under load and faults in virtual time, and prints a row for
+//! each case.
 //!
 //! `cargo bench -p benches --bench policy -- --help` lists the arguments.
 
@@ -38,7 +39,7 @@
     /// Tasks run on `executors` or `workers`.
     #[arg(long, default_value = "executors", value_parser = ["executors", "workers"])]
     place: String,
-    /// Time in which jobs arrive.
+    /// Time during which jobs arrive, in seconds.
     #[arg(long, default_value = "120")]
     seconds: u64,
     #[arg(long, default_value = "1")]
@@ -46,10 +47,10 @@
     /// Slots for each entry that places tasks.
     #[arg(long)]
     slots_per_lead: Option<u32>,
-    /// Runs everything and prints docs/MEASUREMENTS.md; the text tells date, machine and revision.
+    /// Runs everything and prints docs/MEASUREMENTS.md; the value states date, machine and revision.
     #[arg(long)]
     page: Option<String>,
-    /// Given by cargo.
+    /// Set by cargo.
     #[arg(long, hide = true)]
     bench: bool,
 }
--- a/benches/real/caller.rs
+++ b/benches/real/caller.rs
@@ -1,5 +1,5 @@
-//! A caller with one connection, as thin as possible so that it costs little beside what it
-//! measures.
+//! A minimal caller with one connection. It does little work itself, so that it adds little to what
+//! it measures.
 
 use smol::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -7,24 +7,24 @@
 };
 use std::net::SocketAddr;
 
-/// Room for a usual answer.
+/// Read buffer size in bytes, enough for a typical response.
 const READ_SIZE: usize = 64 << 10;
 
-/// A connection that is kept open.
+/// A caller with a persistent connection.
 pub(crate) struct Caller {
     stream: TcpStream,
     read: Vec<u8>,
 }
 
-/// A whole answer.
-pub(crate) struct Answer {
+/// A complete HTTP response.
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-impl Answer {
-    /// The value of a header.
+impl Response {
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().filter_map(|line| line.split_once(':'));
         let mut found = fields.filter(|(field, _)| field.eq_ignore_ascii_case(name));
@@ -39,8 +39,8 @@
         Caller { stream, read: Vec::new() }
     }
 
-    /// Sends a request and reads its answer.
-    pub(crate) async fn exchange(&mut self, request: &[u8]) -> Answer {
+    /// Sends a request and reads its response.
+    pub(crate) async fn exchange(&mut self, request: &[u8]) -> Response {
         self.send(request).await;
         let end = loop {
             if let Some(end) = self.read.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -50,18 +50,18 @@
         };
         let head = String::from_utf8(self.read[..end].to_vec()).expect("a head is text");
         let status = head.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0);
-        let mut answer = Answer { status, head, body: Vec::new() };
-        let length = answer.header("content-length").and_then(|length| length.parse().ok());
-        let length: usize = length.expect("answers have a length");
+        let mut response = Response { status, head, body: Vec::new() };
+        let length = response.header("content-length").and_then(|length| length.parse().ok());
+        let length: usize = length.expect("responses have a length");
         while self.read.len() < end + length {
             self.fill().await;
         }
-        answer.body = self.read[end..end + length].to_vec();
+        response.body = self.read[end..end + length].to_vec();
         self.read.drain(..end + length);
-        answer
+        response
     }
 
-    /// Sends a request whose answer is not read yet.
+    /// Sends a request without reading its response.
     pub(crate) async fn send(&mut self, request: &[u8]) {
         self.stream.write_all(request).await.expect("the connection is open");
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// The bytes of a request.
+/// Returns the bytes of a POST request.
 pub(crate) fn post(path: &str, headers: &[(&str, &str)], body: &str) -> Vec<u8> {
     let mut text = format!("POST {path} HTTP/1.1\r\nHost: bench\r\n");
     for (name, value) in headers {
--- a/benches/real/child.rs
+++ b/benches/real/child.rs
@@ -1,4 +1,4 @@
-//! Processes around the measurement: this program again, in another role.
+//! Child processes of the measurement, which run this program in another role.
 
 use std::{
     fs,
@@ -9,12 +9,12 @@
 };
 
 /// Length of the system's clock ticks in `/proc`, in milliseconds; 100 a second on Linux.
-const TICK: u64 = 10;
+const CLOCK_TICK_MILLIS: u64 = 10;
 
 /// A running process. It ends when its standard input is closed, at the latest on drop.
 pub(crate) struct Process {
     child: Child,
-    /// Where it listens.
+    /// Addresses on which the process listens.
     pub(crate) addresses: Vec<SocketAddr>,
 }
 
@@ -36,25 +36,25 @@
         Process { child, addresses }
     }
 
-    /// Where it listens first.
+    /// Returns the first address on which the process listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.addresses[0]
     }
 
-    /// Resident memory in KiB.
+    /// Returns the resident memory in KiB.
     pub(crate) fn memory(&self) -> u64 {
         let status = self.file("status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let number = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-        number.expect("the system tells resident memory")
+        number.expect("the kernel reports resident memory")
     }
 
-    /// Processor time used so far.
+    /// Returns the processor time used so far.
     pub(crate) fn cpu(&self) -> Duration {
         let stat = self.file("stat");
         let rest = stat.rsplit_once(')').expect("the name is in brackets").1;
         let ticks = rest.split_whitespace().skip(11).take(2).map(|n| n.parse::<u64>().unwrap_or(0));
-        Duration::from_millis(ticks.sum::<u64>() * TICK)
+        Duration::from_millis(ticks.sum::<u64>() * CLOCK_TICK_MILLIS)
     }
 
     fn file(&self, name: &str) -> String {
@@ -65,7 +65,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         drop(self.child.stdin.take());
-        // Nothing is left to do when it can't be waited for.
+        // A failed wait needs no handling.
         let _ = self.child.wait();
     }
 }
--- a/benches/real/main.rs
+++ b/benches/real/main.rs
@@ -28,10 +28,10 @@
     /// Requests on each path of the latency case.
     #[arg(long, default_value = "4000")]
     requests: usize,
-    /// Time that starts are counted.
+    /// Time during which starts are counted, in seconds.
     #[arg(long, default_value = "8")]
     seconds: u64,
-    /// Callers that submit jobs at one time.
+    /// Callers that submit jobs concurrently.
     #[arg(long, default_value = "12")]
     callers: usize,
     /// Tasks of a job.
@@ -40,7 +40,7 @@
     /// Callers that wait in the memory case.
     #[arg(long, default_value = "2000")]
     waiters: usize,
-    /// Runs one of the processes around the measurement.
+    /// Runs one of the child processes of the measurement.
     #[arg(long, hide = true)]
     role: Option<Role>,
     /// Settings of the role `entry`.
@@ -49,20 +49,20 @@
     /// Executors of the role `executors`.
     #[arg(long, hide = true, default_value = "1")]
     executors: usize,
-    /// Where the role `hop` forwards to.
+    /// Address to which the role `hop` forwards.
     #[arg(long, hide = true)]
     target: Option<std::net::SocketAddr>,
-    /// Given by cargo.
+    /// Set by cargo.
     #[arg(long, hide = true)]
     bench: bool,
 }
 
-/// What is measured.
+/// A measured case.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 enum Case {
     /// Single requests, one at a time, on several paths in turn.
     Latency,
-    /// Task starts a second, from jobs.
+    /// Task starts per second, from jobs.
     Starts,
     /// Memory for callers that wait.
     Waiting,
--- a/benches/real/role.rs
+++ b/benches/real/role.rs
@@ -1,6 +1,6 @@
-//! What the other processes do.
+//! The roles of the child processes.
 
-use crate::{Arguments, world::anywhere};
+use crate::{Arguments, world::ephemeral_address};
 use clap::ValueEnum;
 use endpoint::{Call, Reply, Transport, http};
 use entry::{Setup, spawn};
@@ -33,25 +33,25 @@
 /// Time limit of a forwarded call.
 const CALL_LIMIT: Span = Span::from_secs(30);
 
-/// Largest body that is forwarded.
+/// Maximum size of a forwarded body.
 const BODY_LIMIT: Memory = Memory(1 << 20);
 
-/// Connections that a hop may hold.
-const CONNECTIONS: u32 = 64;
+/// Maximum number of connections of a hop.
+const MAX_CONNECTIONS: u32 = 64;
 
-/// What a process does.
+/// The role of a child process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Role {
     /// An entry.
     Entry,
     /// Executors that answer at once.
     Executors,
-    /// Bare proxies to one executor: the first forwards by this system's transport, the second by
+    /// Minimal proxies to one executor: the first forwards by this system's transport, the second by
     /// the HTTP library's own client.
     Hop,
 }
 
-/// Plays a role until the standard input is closed.
+/// Runs a role until the standard input is closed.
 pub(crate) fn run(role: Role, arguments: &Arguments) {
     spawn::set_threads(NonZeroUsize::new(THREADS).expect("not zero"));
     match role {
@@ -61,22 +61,22 @@
     }
 }
 
-/// Tells the addresses and waits for the end.
+/// Prints the addresses and waits until the standard input is closed.
 fn serve(addresses: &[SocketAddr]) {
     println!("{}", serde_json::to_string(addresses).expect("addresses are JSON"));
     // An error ends the wait as well.
     let _ = io::stdin().read(&mut [0]);
 }
 
-/// As the daemon does it.
+/// Runs an entry as the daemon does.
 fn entry(settings: &Path) {
-    let daemon = Daemon::load(settings).expect("the settings are right");
+    let daemon = Daemon::load(settings).expect("the settings are valid");
     let files = Files {
         authority: daemon.tls.authority.clone(),
         certificate: daemon.tls.certificate.clone(),
         key: daemon.tls.key.clone(),
     };
-    let identity = Identity::load(&files).expect("the keys are right");
+    let identity = Identity::load(&files).expect("the keys are valid");
     let (log, _guard) = telemetry::start(io::stderr(), Level::Info).expect("a thread starts");
     log.install(Format::Json).expect("there is no other log");
     let certificate = settings::digest(&[]);
@@ -94,7 +94,7 @@
             run_time: Duration::ZERO,
             ..executor::Options::default()
         };
-        Executor::spawn(anywhere(), options, Ledger::default()).expect("a port is free")
+        Executor::spawn(ephemeral_address(), options, Ledger::default()).expect("a port is free")
     };
     let executors: Vec<_> = (0..count).map(start).collect();
     serve(&executors.iter().map(|executor| executor.address()).collect::<Vec<_>>());
@@ -109,7 +109,7 @@
     });
     let config = ClientConfig::new().with_nodelay(true);
     let client = trillium_client::Client::new(config).with_default_pool();
-    let plain = listen(move |conn| forward_plainly(client.clone(), target, conn));
+    let plain = listen(move |conn| forward_with_http_client(client.clone(), target, conn));
     serve(&[own, plain]);
 }
 
@@ -117,10 +117,10 @@
 where
     F: Future<Output = Conn> + Send + 'static,
 {
-    let socket = std::net::TcpListener::bind(anywhere()).expect("a port is free");
+    let socket = std::net::TcpListener::bind(ephemeral_address()).expect("a port is free");
     let address = socket.local_addr().expect("the socket is bound");
     let socket: smol::net::TcpListener = smol::Async::new(socket).expect("it is a socket").into();
-    // Runs to the end of the process.
+    // Runs until the process exits.
     let _ = trillium_smol::config()
         .without_signals()
         .with_nodelay()
@@ -147,7 +147,7 @@
         needs: Resources::default(),
         time_limit: CALL_LIMIT,
         body_limit: BODY_LIMIT,
-        connections: CONNECTIONS,
+        connections: MAX_CONNECTIONS,
     };
     let reply = transport.call(call).await.reply;
     let Reply::Done(output) = reply else { panic!("the executor answers") };
@@ -155,7 +155,7 @@
         .ok(output.body.to_vec())
 }
 
-async fn forward_plainly(
+async fn forward_with_http_client(
     client: trillium_client::Client,
     address: SocketAddr,
     mut conn: Conn,
@@ -163,6 +163,6 @@
     let body = conn.request_body_string().await.expect("the caller sends text");
     let request = client.post(format!("http://{address}/templating"));
     let mut answer = request.with_body(body).await.expect("the executor answers");
-    let body = answer.response_body().read_bytes().await.expect("the answer is whole");
+    let body = answer.response_body().read_bytes().await.expect("the response is complete");
     conn.with_response_header(KnownHeaderName::ContentType, "application/json").ok(body)
 }
--- a/benches/real/starts.rs
+++ b/benches/real/starts.rs
@@ -1,4 +1,4 @@
-//! Task starts a second from jobs whose tasks end at once.
+//! Measures task starts per second with jobs whose tasks end at once.
 
 use crate::{
     caller::Caller,
@@ -14,20 +14,20 @@
     time::{Duration, Instant},
 };
 
-/// Executors, as both sites have; 8 slots each.
+/// Number of executors, the same as at both sites; each has 8 slots.
 const EXECUTORS: usize = 50;
 
-/// Time before the count.
+/// Time before the counted interval.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Answers of all callers.
+/// Counts of the answers that all callers received.
 #[derive(Default)]
 struct Tally {
     complete: AtomicUsize,
     failed: AtomicUsize,
 }
 
-/// Has `callers` submit jobs of `tasks` tasks one after another, and prints a row.
+/// Lets `callers` callers submit jobs of `tasks` tasks one after another, and prints a row.
 pub(crate) async fn measure(callers: usize, tasks: usize, time: Duration) {
     let world = World::start(1, EXECUTORS).await;
     let tally = Arc::new(Tally::default());
@@ -42,9 +42,9 @@
     Timer::after(WARM_UP).await;
     let [entry, executors] = [&world.entries[0], &world.executors];
     let cpu = [entry.cpu(), executors.cpu()];
-    let (complete, begun) = (tally.complete.load(Ordering::Relaxed), Instant::now());
+    let (complete, start) = (tally.complete.load(Ordering::Relaxed), Instant::now());
     Timer::after(time).await;
-    let elapsed = begun.elapsed().as_secs_f64();
+    let elapsed = start.elapsed().as_secs_f64();
     let starts = ((tally.complete.load(Ordering::Relaxed) - complete) * tasks) as f64;
     let entry_cores = (entry.cpu() - cpu[0]).as_secs_f64() / elapsed;
     let executor_cores = (executors.cpu() - cpu[1]).as_secs_f64() / elapsed;
@@ -59,7 +59,7 @@
     );
 }
 
-/// Submits the same job again and again; each is a new one, as it has no identifier.
+/// Submits the same job repeatedly; each request is a new job, since it has no identifier.
 async fn submit(mut caller: Caller, job: Arc<[u8]>, tally: Arc<Tally>) {
     loop {
         let count = match caller.exchange(&job).await.status {
--- a/benches/real/waiting.rs
+++ b/benches/real/waiting.rs
@@ -1,15 +1,15 @@
-//! Memory for callers that wait for their answers.
+//! Measures the memory used for callers that wait for their answers.
 
 use crate::world::{self, World};
 use serde_json::json;
 use smol::Timer;
 use std::time::Duration;
 
-/// Executors; 8 slots each, so that most requests wait for one.
+/// Number of executors. Each has 8 slots, so that most requests wait for a slot.
 const EXECUTORS: usize = 50;
 
-/// Time for the requests to be taken in.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Time allowed for the entry to receive the requests.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Opens `waiters` connections with a request on each, and prints a row.
 pub(crate) async fn measure(waiters: usize) {
@@ -24,7 +24,7 @@
         caller.send(&request).await;
         callers.push(caller);
     }
-    Timer::after(SETTLE).await;
+    Timer::after(SETTLE_TIME).await;
     let after = entry.memory();
     let waiting = world.metric("waiters").await;
     println!(
--- a/benches/real/world.rs
+++ b/benches/real/world.rs
@@ -23,19 +23,19 @@
 };
 use uuid::Uuid;
 
-/// The key of the firm.
-const KEY: &str = "bench-firm";
+/// API key of the firm.
+const FIRM_KEY: &str = "bench-firm";
 
-/// The key of the operator.
-const OPERATOR: &str = "bench-operator";
+/// API key of the operator.
+const OPERATOR_KEY: &str = "bench-operator";
 
-/// Time between two looks at a state.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running site.
 pub(crate) struct World {
     pub(crate) entries: Vec<Process>,
-    /// What the entries call themselves in tokens.
+    /// Names of the entries in tokens.
     names: Vec<String>,
     pub(crate) executors: Process,
     _platform: Platform,
@@ -47,7 +47,7 @@
     pub(crate) async fn start(entries: usize, executors: usize) -> World {
         let count = executors.to_string();
         let executors = Process::spawn(&["--role", "executors", "--executors", &count]);
-        let platform = Platform::spawn(anywhere()).expect("a port is free");
+        let platform = Platform::spawn(ephemeral_address()).expect("a port is free");
         let store = gateway::Client::new(Options::new(vec![platform.address()]));
         let files = files(&executors.addresses);
         manifest::accept(&store, Revision(0), &files, Uuid::new_v4()).await.expect("it is up");
@@ -61,46 +61,49 @@
         let entries = (0..entries).map(start).collect();
         let names = Vec::new();
         let mut world = World { entries, names, executors, _platform: platform, dir };
-        world.settle().await;
+        world.wait_until_ready().await;
         world
     }
 
-    /// A caller of an entry.
+    /// Connects a caller to an entry.
     pub(crate) async fn caller(&self, entry: usize) -> Caller {
         Caller::connect(self.entries[entry].address()).await
     }
 
-    /// Index of the entry that a token names.
-    pub(crate) fn home(&self, token: &str) -> usize {
+    /// Returns the index of the entry that a token names.
+    pub(crate) fn entry_index(&self, token: &str) -> usize {
         let home = self.names.iter().position(|home| token.starts_with(home.as_str()));
         home.expect("a token names an entry")
     }
 
-    /// A metric of the first entry, without labels.
+    /// Returns the value of a metric without labels at the first entry.
     pub(crate) async fn metric(&self, name: &str) -> u64 {
         let get = String::from_utf8(post("/metrics", &[], "")).expect("a request is text");
         let get = get.replacen("POST", "GET", 1);
-        let answer = self.caller(0).await.exchange(get.as_bytes()).await;
-        let text = String::from_utf8(answer.body).expect("metrics are text");
+        let response = self.caller(0).await.exchange(get.as_bytes()).await;
+        let text = String::from_utf8(response.body).expect("metrics are text");
         let of = |line: &str| line.strip_prefix("primrosestep_")?.strip_prefix(name)?.parse().ok();
         text.lines().find_map(|line| of(&line.replacen(' ', "", 1))).expect("it is counted")
     }
 
-    /// Waits until every entry knows all others and answers.
-    async fn settle(&mut self) {
+    /// Waits until every entry knows all others and responds.
+    async fn wait_until_ready(&mut self) {
         for (index, entry) in self.entries.iter().enumerate() {
-            let operator = Client::new([entry.address()], OPERATOR).expect("one entry is named");
+            let operator =
+                Client::new([entry.address()], OPERATOR_KEY).expect("one entry is named");
             let others = self.entries.len() - 1;
             let name = loop {
                 match operator.show("peers").await {
-                    Ok(view) if live(&view) == Some(others) => break view["home"].clone(),
-                    _ => drop(Timer::after(LOOK).await),
+                    Ok(view) if live_peer_count(&view) == Some(others) => {
+                        break view["home"].clone();
+                    }
+                    _ => drop(Timer::after(POLL_INTERVAL).await),
                 }
             };
             self.names.push(name.as_str().expect("a home is text").to_owned());
             let mut caller = self.caller(index).await;
             while caller.exchange(&request(&[])).await.status != 200 {
-                Timer::after(LOOK).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         }
     }
@@ -108,33 +111,33 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        // The system clears its folder for temporary files some day.
+        // A folder that can't be removed is left to the system's cleanup of temporary files.
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
-/// The bytes of a single request.
+/// Returns the bytes of a single request.
 pub(crate) fn request(headers: &[(&str, &str)]) -> Vec<u8> {
     submit("/v1/requests/templating", headers, &body())
 }
 
-/// The bytes of a submission to an entry.
+/// Returns the bytes of a submission to an entry.
 pub(crate) fn submit(path: &str, headers: &[(&str, &str)], body: &str) -> Vec<u8> {
-    let key = format!("Bearer {KEY}");
+    let key = format!("Bearer {FIRM_KEY}");
     post(path, &[headers, &[("Authorization", key.as_str())]].concat(), body)
 }
 
-/// The body of a task that ends at once.
+/// Returns the body of a task that ends at once.
 pub(crate) fn body() -> String {
     json!({ "ms": 0, "echo": "a cutout of 560 by 490 at 120 from the edge" }).to_string()
 }
 
-/// A loopback port that the system chooses.
-pub(crate) fn anywhere() -> SocketAddr {
+/// Returns a loopback address whose port the system chooses.
+pub(crate) fn ephemeral_address() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
-fn live(view: &Value) -> Option<usize> {
+fn live_peer_count(view: &Value) -> Option<usize> {
     let is_live = |peer: &&Value| peer["status"] == "live";
     Some(view["peers"].as_array()?.iter().filter(is_live).count())
 }
@@ -150,8 +153,8 @@
     let settings = json!({
         "name": name,
         "data-centre": "cutting",
-        "http": anywhere(),
-        "quic": anywhere(),
+        "http": ephemeral_address(),
+        "quic": ephemeral_address(),
         "platform": [platform],
         "tls": {
             "key": put(".key", &pair.key),
@@ -176,9 +179,9 @@
         "data-centres": { "cutting": { "region": "zilina" } },
         "services": { "templating": service },
         "executors": executors,
-        "firms": { "kovacik": { "key-digests": { "bench": digest(KEY) } } },
+        "firms": { "kovacik": { "key-digests": { "bench": digest(FIRM_KEY) } } },
         "contracts": { "kovacik": { "firm": "kovacik", "service": "templating" } },
-        "operators": { "duty": { "key-digests": { "bench": digest(OPERATOR) } } },
+        "operators": { "duty": { "key-digests": { "bench": digest(OPERATOR_KEY) } } },
     });
     [("10-site.json".into(), Bytes::from(site.to_string()))].into_iter().collect()
 }
--- a/benches/report/ideal.rs
+++ b/benches/report/ideal.rs
@@ -1,4 +1,4 @@
-//! Response times of the best that could be: one queue over all slots, without latency.
+//! Response times of the ideal scheduler: one queue over all slots, without latency.
 
 use crate::{
     case::Case,
@@ -14,7 +14,7 @@
 };
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-/// Response times with one queue over all slots and no latency.
+/// Returns the response times with one queue over all slots and no latency.
 pub(crate) fn one_queue(case: &Case, jobs: &[Job]) -> Vec<Span> {
     let mut free: BinaryHeap<_> =
         (0..capacity(case.model.place)).map(|_| Reverse(Time(0))).collect();
@@ -32,8 +32,8 @@
         .collect()
 }
 
-/// Response times with one fair queue over all slots and no latency. Run times are not known
-/// before a task ends.
+/// Returns the response times with one fair queue over all slots and no latency. The queue does not
+/// know a task's run time before the task ends.
 pub(crate) fn one_fair_queue(case: &Case, jobs: &[Job]) -> Vec<Span> {
     let mut queue = Queue::new();
     for (i, weight) in case.model.weights.iter().enumerate() {
--- a/benches/report/list.rs
+++ b/benches/report/list.rs
@@ -5,7 +5,7 @@
 /// Loads of the healthy cases, in percent.
 pub(crate) const LOADS: [u32; 4] = [50, 80, 95, 120];
 
-/// Faults measured at 80%, and some that come together.
+/// Faults, and combinations of faults, that are measured at 80% load.
 pub(crate) const FAULTS: [&[Fault]; 12] = [
     &[Fault::Dead],
     &[Fault::BlackHoles],
@@ -21,7 +21,7 @@
     &[Fault::Cut, Fault::BlackHoles],
 ];
 
-/// Loads and faults that are measured, or those of them that are asked for.
+/// Returns the loads and faults to measure: all of them, or only the requested ones.
 pub(crate) fn listed(load: Option<u32>, faults: &[Fault]) -> Vec<(u32, Vec<Fault>)> {
     if let (Some(load), [_, ..]) = (load, faults) {
         return vec![(load, faults.to_vec())];
--- a/benches/report/mod.rs
+++ b/benches/report/mod.rs
@@ -1,8 +1,8 @@
-//! What is measured, and what is compared with.
+//! The measured figures and the references they are compared with.
 
-mod bars;
 pub(crate) mod ideal;
 pub(crate) mod list;
 pub(crate) mod page;
 pub(crate) mod row;
 pub(crate) mod tally;
+mod targets;
--- a/benches/report/page.rs
+++ b/benches/report/page.rs
@@ -1,9 +1,9 @@
 //! The page of measurements, in Markdown.
 
 use super::{
-    bars,
     list::{FAULTS, LOADS},
     row::{HEAD, Row, measure},
+    targets,
 };
 use crate::{
     baselines::Policy,
@@ -14,10 +14,10 @@
 use site::{service::Place, unit::Span};
 
 const TEMPLATE: &str = include_str!("page.md");
-/// Time in which jobs arrive.
-const SECONDS: u64 = 300;
-/// The same for the outage of the platform.
-const OUTAGE: u64 = 600;
+/// Time during which jobs arrive, in seconds.
+const RUN_SECONDS: u64 = 300;
+/// Time during which jobs arrive in the case of a platform outage, in seconds.
+const OUTAGE_RUN_SECONDS: u64 = 600;
 
 /// The rows of the page's tables.
 pub(crate) struct Tables {
@@ -37,8 +37,8 @@
     let policies: Vec<_> = policies.iter().map(|policy| policy.get_name()).collect();
     let page = TEMPLATE
         .replace("{run}", run)
-        .replace("{bars}", &bars::table(&tables))
-        .replace("{seconds}", &SECONDS.to_string())
+        .replace("{bars}", &targets::table(&tables))
+        .replace("{seconds}", &RUN_SECONDS.to_string())
         .replace("{policies}", &policies.join(","))
         .replace("{healthy}", &table(&tables.healthy))
         .replace("{seeds}", &table(&tables.seeds))
@@ -55,18 +55,18 @@
         let chosen = [Policy::Chosen];
         let none = [Fault::None].as_slice();
         let on = Place::Executors;
-        let healthy = LOADS.map(|load| plan(on, load, none, SECONDS, 1, all)).concat();
-        let seeds = [2, 3].map(|seed| plan(on, 80, none, SECONDS, seed, all)).concat();
-        let faults = FAULTS.map(|faults| plan(on, 80, faults, SECONDS, 1, &chosen)).concat();
-        let others = FAULTS.map(|faults| plan(on, 80, faults, SECONDS, 1, &all[1..])).concat();
+        let healthy = LOADS.map(|load| plan(on, load, none, RUN_SECONDS, 1, all)).concat();
+        let seeds = [2, 3].map(|seed| plan(on, 80, none, RUN_SECONDS, seed, all)).concat();
+        let faults = FAULTS.map(|faults| plan(on, 80, faults, RUN_SECONDS, 1, &chosen)).concat();
+        let others = FAULTS.map(|faults| plan(on, 80, faults, RUN_SECONDS, 1, &all[1..])).concat();
         let special = [
-            plan(on, 120, &[Fault::Fair], SECONDS, 1, &chosen),
-            plan(on, 80, &[Fault::Leaving], SECONDS, 1, &chosen),
-            plan(on, 80, &[Fault::Platform], OUTAGE, 1, &chosen),
+            plan(on, 120, &[Fault::Fair], RUN_SECONDS, 1, &chosen),
+            plan(on, 80, &[Fault::Leaving], RUN_SECONDS, 1, &chosen),
+            plan(on, 80, &[Fault::Platform], OUTAGE_RUN_SECONDS, 1, &chosen),
         ];
         let workers =
             [(50, Fault::None), (50, Fault::Hints), (80, Fault::None), (80, Fault::Hints)]
-                .map(|(load, fault)| plan(Place::Workers, load, &[fault], SECONDS, 1, &chosen));
+                .map(|(load, fault)| plan(Place::Workers, load, &[fault], RUN_SECONDS, 1, &chosen));
         Tables {
             healthy: measure(&healthy),
             seeds: measure(&seeds),
@@ -78,7 +78,7 @@
     }
 }
 
-/// The cases of both sites with each policy.
+/// Returns the cases of both sites with each policy.
 fn plan(
     place: Place,
     load: u32,
@@ -105,7 +105,7 @@
     format!("{HEAD}\n{}", rows.join("\n"))
 }
 
-/// A line for each site and fault, a column for each policy.
+/// Returns a table with a line for each site and fault and a column for each policy.
 fn matrix(rows: &[Row]) -> String {
     let policies = &Policy::value_variants()[1..];
     let names: Vec<_> = policies.iter().map(|of| format!("{of:?}").to_lowercase()).collect();
--- a/benches/report/row.rs
+++ b/benches/report/row.rs
@@ -1,4 +1,4 @@
-//! The row of a table that a case gives.
+//! The table row with the results of a case.
 
 use crate::{
     case::Case,
@@ -12,16 +12,16 @@
 use site::unit::Span;
 use std::{fmt, thread};
 
-/// Cases that are run at the same time.
-const THREADS: usize = 6;
+/// Number of cases that run concurrently.
+const MAX_CONCURRENT_CASES: usize = 6;
 
-/// Head of a table of [`Row`]s.
+/// Header of a table of [`Row`]s.
 pub(crate) const HEAD: &str = "\
 | site | load | fault | policy | p50, p99, p99.9 ms | to one queue | to one fair queue | wasted \
 messages a task | starts refused | goodput | jobs refused, failed, cancelled of all | notes |
 |---|---|---|---|---|---|---|---|---|---|---|---|";
 
-/// Runs cases, several at a time, in their order.
+/// Runs cases concurrently and returns their rows in the order of the cases.
 pub(crate) fn measure(cases: &[Case]) -> Vec<Row> {
     let run = |some: &[Case]| -> Vec<Row> {
         thread::scope(|scope| {
@@ -29,7 +29,7 @@
             runs.into_iter().map(|run| run.join().expect("the case ran")).collect()
         })
     };
-    cases.chunks(THREADS).flat_map(run).collect()
+    cases.chunks(MAX_CONCURRENT_CASES).flat_map(run).collect()
 }
 
 fn run(case: &Case) -> Row {
@@ -53,17 +53,17 @@
     }
 }
 
-/// What a case showed.
+/// The results of a case.
 #[derive(Debug)]
 pub(crate) struct Row {
     pub(crate) case: Case,
     /// Response times of completed jobs at p50, p99, p99.9, in microseconds.
     pub(crate) real: [f64; 3],
-    /// As a ratio to the same jobs' in one queue.
+    /// Ratios of `real` to the response times of the same jobs in one queue.
     pub(crate) to_one_queue: [f64; 3],
-    /// As a ratio to the same jobs' in one fair queue.
+    /// Ratios of `real` to the response times of the same jobs in one fair queue.
     pub(crate) to_fair_queue: [f64; 3],
-    /// Slot time within the run that went to jobs with an answer, as part of all slot time.
+    /// Slot time within the run that went to completed jobs, as a fraction of all slot time.
     pub(crate) goodput: f64,
     pub(crate) jobs: u64,
     pub(crate) tally: Tally,
@@ -75,7 +75,7 @@
         let policy = format!("{:?}", case.policy).to_lowercase();
         let [p50, p99, p999] = real.map(|time| time / 1e3);
         let ratios = |[a, b, c]: [f64; 3]| format!("{a:.2}, {b:.2}, {c:.2}");
-        let silent = self.jobs - tally.answered();
+        let unanswered = self.jobs - tally.answered();
         write!(
             f,
             "| {} | {}% | {} | {} | {p50:.0}, {p99:.0}, {p999:.0} | {} | {} | {:.4} | {} | {:.1}% \
@@ -90,7 +90,7 @@
             tally.refused_starts,
             100.0 * self.goodput,
             tally.refused_jobs,
-            tally.failed_jobs + silent,
+            tally.failed_jobs + unanswered,
             tally.cancelled_jobs,
             self.jobs,
             tally.notes(case),
--- a/benches/report/tally.rs
+++ b/benches/report/tally.rs
@@ -3,7 +3,7 @@
 use crate::{
     case::{Case, Fault},
     workload::{load::Job, model::ENTRIES},
-    world::{Endpoint, LEAVING, Start, State},
+    world::{Endpoint, LEAVING_ENDPOINTS, Start, State},
 };
 use dispatch::Message;
 use site::{
@@ -14,12 +14,12 @@
 };
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Length of a bucket of service.
+/// Length of a bucket in which run time is counted.
 pub(crate) const BUCKET: Span = Span::from_millis(100);
-/// Buckets in a window of fairness: 2 s.
-const WINDOW: usize = 20;
-/// Time in which a leaving executor may still get work.
-const LEAVE: Span = Span::from_secs(3);
+/// Number of buckets in a fairness window: 2 s.
+const FAIRNESS_WINDOW_BUCKETS: usize = 20;
+/// Time after the notice of leaving during which an executor may still get work.
+const LEAVING_START_GRACE: Span = Span::from_secs(3);
 
 /// Counts of a run.
 #[derive(Debug, Default)]
@@ -29,39 +29,39 @@
     pub(crate) refused_jobs: u64,
     pub(crate) failed_jobs: u64,
     pub(crate) cancelled_jobs: u64,
-    /// Starts sent, those refused or not connected, and those that ran without failure.
+    /// Starts sent; `refused_starts` were refused or not connected, `done` ran without failure.
     pub(crate) starts: u64,
     pub(crate) refused_starts: u64,
     pub(crate) done: u64,
-    /// Messages between entries, but for heartbeats, and ends of attempts.
+    /// Messages between entries except heartbeats, and orders that end attempts.
     pub(crate) messages: u64,
     pub(crate) heartbeats: u64,
     /// Tasks of jobs that ran more than once.
     pub(crate) doubled: u64,
     /// Calls to the platform.
     pub(crate) claims: u64,
-    /// Longest time from the decision to refuse until the answer.
+    /// Longest time from the decision to reject a submission until its answer.
     pub(crate) refusal: Span,
     /// Starts on leaving executors later than allowed.
     pub(crate) late_starts: u64,
-    /// Starts lost to each black hole before its isolation, and all later ones.
+    /// Starts lost to each black hole before its isolation; `probes` counts all later ones.
     lost: BTreeMap<usize, u64>,
     probes: u64,
-    /// Starts that made or found a worker's use larger than what it has, and the largest use as
-    /// part of that.
+    /// Starts after which a worker's usage exceeds its capacity; `peak` is the largest usage as a
+    /// fraction of the capacity.
     pub(crate) overcommitted: u64,
     peak: f64,
     /// Run time of each job's tasks within the run.
     worked: BTreeMap<usize, u64>,
     /// Run time of each firm in each bucket.
     service: Vec<Vec<u64>>,
-    /// Whether each firm had tasks waiting at the end of each bucket.
+    /// Whether each firm had pending tasks at the end of each bucket.
     demand: Vec<Vec<bool>>,
-    /// Tasks of open jobs that never ran, by job and by firm.
+    /// Tasks of open jobs that never ran, by job; `waiting` counts them by firm.
     left: HashMap<usize, usize>,
     waiting: Vec<usize>,
     ran: HashSet<(usize, usize)>,
-    /// When it was decided to refuse.
+    /// Time at which each submission was rejected.
     refusals: HashMap<SubmissionId, Time>,
 }
 
@@ -80,16 +80,18 @@
         }
     }
 
-    /// Counts the decision to refuse a submission.
+    /// Records the decision to reject a submission.
     pub(crate) fn refuse(&mut self, id: SubmissionId, now: Time) {
         self.refusals.entry(id).or_insert(now);
     }
 
     /// Counts a start that is sent.
     pub(crate) fn start(&mut self, case: &Case, start: &Start) {
-        let leaving = case.faults.contains(&Fault::Leaving) && LEAVING.contains(&start.endpoint);
+        let leaving =
+            case.faults.contains(&Fault::Leaving) && LEAVING_ENDPOINTS.contains(&start.endpoint);
         self.starts += 1;
-        self.late_starts += u64::from(leaving && start.sent > case.middle() + LEAVE);
+        self.late_starts +=
+            u64::from(leaving && start.sent > case.fault_start() + LEAVING_START_GRACE);
     }
 
     /// Counts a task that runs on `endpoint` from `now` on.
@@ -115,7 +117,7 @@
         let within = run_time.min((Time(0) + case.length).since(now));
         *self.worked.entry(start.job).or_default() += within.0;
         self.serve(job.firm, now.0, now.0 + within.0);
-        let part = part(&endpoint.used, &case.model.worker);
+        let part = used_fraction(&endpoint.used, &case.model.worker);
         self.overcommitted += u64::from(part > 1.0);
         self.peak = self.peak.max(part);
     }
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Ends a bucket.
+    /// Records at the end of a bucket which firms have pending tasks.
     pub(crate) fn sample(&mut self) {
         self.demand.push(self.waiting.iter().map(|tasks| *tasks > 0).collect());
     }
@@ -162,37 +164,38 @@
         }
     }
 
-    /// Jobs with an answer of whatever kind.
+    /// Returns the number of jobs with an answer of any kind.
     pub(crate) fn answered(&self) -> u64 {
         let failed = self.refused_jobs + self.failed_jobs + self.cancelled_jobs;
         self.responses.len() as u64 + failed
     }
 
-    /// Run time within the run of the jobs that completed.
+    /// Returns the run time of completed jobs that lies within the run.
     pub(crate) fn useful(&self) -> u64 {
         self.responses.keys().filter_map(|job| self.worked.get(job)).sum()
     }
 
-    /// Messages beyond one start and one answer, for each task that ran.
+    /// Returns the messages beyond one start and one answer per task that ran.
     pub(crate) fn wasted(&self) -> f64 {
         let extra = 2 * (self.starts - self.done) + self.messages;
         extra as f64 / self.done.max(1) as f64
     }
 
-    /// Most starts that one black hole lost before it was isolated.
-    pub(crate) fn most_lost(&self) -> u64 {
+    /// Returns the maximum number of starts that one black hole lost before it was isolated.
+    pub(crate) fn max_lost_starts(&self) -> u64 {
         self.lost.values().copied().max().unwrap_or(0)
     }
 
-    /// Least part of its weighted share that a firm got in a window in which it always had tasks
-    /// waiting, and the number of such windows. The shares are of what all firms got.
-    pub(crate) fn least_share(&self, weights: &[u32]) -> (f64, usize) {
+    /// Returns the smallest fraction of its weighted share that a firm got in a window in which it
+    /// always had pending tasks, and the number of such windows. The shares are of what all firms
+    /// got.
+    pub(crate) fn min_weighted_share(&self, weights: &[u32]) -> (f64, usize) {
         let total = f64::from(weights.iter().sum::<u32>());
         let buckets = self.service.len().min(self.demand.len());
         let mut shares = Vec::new();
-        for from in 0..buckets.saturating_sub(WINDOW) {
-            let service = &self.service[from..from + WINDOW];
-            let demand = &self.demand[from..from + WINDOW];
+        for from in 0..buckets.saturating_sub(FAIRNESS_WINDOW_BUCKETS) {
+            let service = &self.service[from..from + FAIRNESS_WINDOW_BUCKETS];
+            let demand = &self.demand[from..from + FAIRNESS_WINDOW_BUCKETS];
             let all: u64 = service.iter().flatten().sum();
             for (firm, weight) in weights.iter().enumerate() {
                 if demand.iter().all(|firms| firms.get(firm) == Some(&true)) {
@@ -204,7 +207,7 @@
         (shares.iter().copied().fold(f64::INFINITY, f64::min), shares.len())
     }
 
-    /// What matters for the case alone.
+    /// Returns the figures that only apply to this kind of case.
     pub(crate) fn notes(&self, case: &Case) -> String {
         let mut notes = Vec::new();
         let beats = self.heartbeats as f64 / (case.end().0 as f64 / 1e6) / ENTRIES as f64;
@@ -215,11 +218,11 @@
                 Fault::Platform => Some(format!("{} calls to the platform", self.claims)),
                 Fault::BlackHoles => Some(format!(
                     "at most {} lost by one, {} probes",
-                    self.most_lost(),
+                    self.max_lost_starts(),
                     self.probes
                 )),
                 Fault::Fair => {
-                    let (least, windows) = self.least_share(&case.model.weights);
+                    let (least, windows) = self.min_weighted_share(&case.model.weights);
                     Some(format!("least share {:.1}% of {windows} windows", 100.0 * least))
                 }
                 _ => None,
@@ -239,8 +242,8 @@
     }
 }
 
-/// The larger part of a worker's cores or memory that is used.
-fn part(used: &Resources, worker: &Resources) -> f64 {
+/// Returns the larger of the used fractions of a worker's cores and memory.
+fn used_fraction(used: &Resources, worker: &Resources) -> f64 {
     let cores = f64::from(used.cores.0) / f64::from(worker.cores.0);
     let memory = used.memory.0 as f64 / worker.memory.0 as f64;
     cores.max(memory)
--- a/benches/report/bars.rs
+++ b/benches/report/targets.rs
@@ -1,28 +1,28 @@
-//! The bars that the measurements are held to.
+//! The targets that the measurements are checked against.
 
 use super::{page::Tables, row::Row};
 use crate::{baselines::Policy, case::Fault, workload::model::Name};
 
-/// One bar at one site.
-struct Bar {
+/// A target at one site.
+struct Target {
     name: &'static str,
     limit: &'static str,
     value: String,
     met: bool,
-    /// Why it is not met, as far as known.
+    /// Known reason why the target is not met.
     cause: &'static str,
 }
 
-/// The bars, with a column for each site.
+/// Returns the table of targets, with a column for each site.
 pub(crate) fn table(tables: &Tables) -> String {
     let mut lines = vec![
         "| bar | limit | kovacik | clydeside | cause, where not met |".to_owned(),
         "|---|---|---|---|---|".to_owned(),
     ];
-    for (a, b) in bars(tables, Name::Kovacik).into_iter().zip(bars(tables, Name::Clydeside)) {
-        let cell = |bar: &Bar| match bar.met {
-            true => format!("{}: met", bar.value),
-            false => format!("{}: **not met**", bar.value),
+    for (a, b) in targets(tables, Name::Kovacik).into_iter().zip(targets(tables, Name::Clydeside)) {
+        let cell = |target: &Target| match target.met {
+            true => format!("{}: met", target.value),
+            false => format!("{}: **not met**", target.value),
         };
         let cause = if a.met && b.met { "" } else { a.cause };
         lines.push(format!("| {} | {} | {} | {} | {cause} |", a.name, a.limit, cell(&a), cell(&b)));
@@ -30,7 +30,7 @@
     lines.join("\n")
 }
 
-fn bars(tables: &Tables, site: Name) -> Vec<Bar> {
+fn targets(tables: &Tables, site: Name) -> Vec<Target> {
     let at_site = |row: &&Row| row.case.model.name == site;
     let healthy: Vec<_> = tables.healthy.iter().filter(at_site).collect();
     let faults: Vec<_> = tables.faults.iter().filter(at_site).collect();
@@ -59,11 +59,11 @@
     row.case.policy == Policy::Chosen
 }
 
-fn p99(at_80: &[&Row]) -> Bar {
+fn p99(at_80: &[&Row]) -> Target {
     let ratios: Vec<_> =
         at_80.iter().filter(|row| is_chosen(row)).map(|row| row.to_one_queue[1]).collect();
     let texts: Vec<_> = ratios.iter().map(|ratio| format!("{ratio:.2}")).collect();
-    Bar {
+    Target {
         name: "p99 to one queue, 80%, healthy, 3 seeds",
         limit: "at most 1.25",
         value: texts.join(", "),
@@ -72,7 +72,7 @@
     }
 }
 
-fn baselines(at_80: &[&Row]) -> Bar {
+fn baselines(at_80: &[&Row]) -> Target {
     let is_baseline = |row: &&&Row| {
         let policies =
             [Policy::Random, Policy::RoundRobin, Policy::TwoChoices, Policy::LeastLoaded];
@@ -86,7 +86,7 @@
         texts.push(format!("{:.2} of {best:.2}", own.to_one_queue[1]));
         met &= own.to_one_queue[1] < best;
     }
-    Bar {
+    Target {
         name: "p99 of the best baseline, 80%, healthy, 3 seeds",
         limit: "below",
         value: texts.join(", "),
@@ -95,11 +95,11 @@
     }
 }
 
-fn wasted(name: &'static str, limit: &'static str, bound: f64, rows: &[&Row]) -> Bar {
+fn wasted(name: &'static str, limit: &'static str, bound: f64, rows: &[&Row]) -> Target {
     let worst = rows.iter().max_by(|a, b| a.tally.wasted().total_cmp(&b.tally.wasted()));
     let worst = worst.expect("a row");
     let case = &worst.case;
-    Bar {
+    Target {
         name,
         limit,
         value: format!("{:.4} ({}%, {})", worst.tally.wasted(), case.load, case.fault_label()),
@@ -108,10 +108,10 @@
     }
 }
 
-fn goodput(chosen: &[&Row]) -> Bar {
+fn goodput(chosen: &[&Row]) -> Target {
     let at = |load| chosen.iter().find(|row| row.case.load == load).expect("measured").goodput;
     let ratio = at(120) / at(95);
-    Bar {
+    Target {
         name: "goodput at 120% to that at 95%",
         limit: "at least 97%",
         value: format!("{:.1}%", 100.0 * ratio),
@@ -120,10 +120,10 @@
     }
 }
 
-fn refusals(all: &[&Row]) -> Bar {
+fn refusals(all: &[&Row]) -> Target {
     let worst = all.iter().map(|row| row.tally.refusal).max().expect("a row");
     let refused: u64 = all.iter().map(|row| row.tally.refused_jobs).sum();
-    Bar {
+    Target {
         name: "a refusal's delay after the decision",
         limit: "5 ms",
         value: format!("at most {worst} of {refused}"),
@@ -132,10 +132,10 @@
     }
 }
 
-fn shares(special: &[&Row]) -> Bar {
+fn shares(special: &[&Row]) -> Target {
     let row = find(special, Fault::Fair);
-    let (least, windows) = row.tally.least_share(&row.case.model.weights);
-    Bar {
+    let (least, windows) = row.tally.min_weighted_share(&row.case.model.weights);
+    Target {
         name: "least share of a firm with demand over 2 s",
         limit: "at least 95%",
         value: format!("{:.1}% of {windows} windows", 100.0 * least),
@@ -144,9 +144,9 @@
     }
 }
 
-fn black_holes(faults: &[&Row]) -> Bar {
-    let most = faults.iter().map(|row| row.tally.most_lost()).max().expect("a row");
-    Bar {
+fn black_holes(faults: &[&Row]) -> Target {
+    let most = faults.iter().map(|row| row.tally.max_lost_starts()).max().expect("a row");
+    Target {
         name: "tasks lost to a black hole before it is isolated",
         limit: "at most 8",
         value: most.to_string(),
@@ -155,9 +155,9 @@
     }
 }
 
-fn leaving(special: &[&Row]) -> Bar {
+fn leaving(special: &[&Row]) -> Target {
     let starts = find(special, Fault::Leaving).tally.late_starts;
-    Bar {
+    Target {
         name: "starts on leaving executors after 3 s",
         limit: "0",
         value: starts.to_string(),
@@ -166,9 +166,9 @@
     }
 }
 
-fn doubled(all: &[&Row]) -> Bar {
+fn doubled(all: &[&Row]) -> Target {
     let doubled: u64 = all.iter().map(|row| row.tally.doubled).sum();
-    Bar {
+    Target {
         name: "tasks of jobs that ran twice, all cases",
         limit: "0",
         value: doubled.to_string(),
@@ -177,9 +177,9 @@
     }
 }
 
-fn platform(all: &[&Row]) -> Bar {
+fn platform(all: &[&Row]) -> Target {
     let claims: u64 = all.iter().map(|row| row.tally.claims).sum();
-    Bar {
+    Target {
         name: "calls to the platform on the homed path",
         limit: "0",
         value: claims.to_string(),
--- a/benches/workload/mod.rs
+++ b/benches/workload/mod.rs
@@ -1,4 +1,4 @@
-//! The sites and the jobs that their callers send.
+//! The sites and the jobs that their callers submit.
 
 pub(crate) mod load;
 pub(crate) mod model;
--- a/benches/workload/model.rs
+++ b/benches/workload/model.rs
@@ -12,18 +12,18 @@
     unit::{Cores, Memory, Resources, Span},
 };
 
-/// Entry VMs of a site.
+/// Number of entry VMs of a site.
 pub(crate) const ENTRIES: usize = 8;
-/// Executors or workers of a site.
+/// Number of executors or workers of a site.
 pub(crate) const ENDPOINTS: usize = 50;
-/// Tasks of one executor at one time.
+/// Number of tasks that an executor runs concurrently.
 pub(crate) const SLOTS: u32 = 8;
 /// One-way latency inside a data centre.
-pub(crate) const NEAR: Span = Span(200);
+pub(crate) const INTRA_DC_LATENCY: Span = Span(200);
 /// One-way latency between data centres.
-pub(crate) const FAR: Span = Span(1_400);
+pub(crate) const INTER_DC_LATENCY: Span = Span(1_400);
 
-/// A site of today.
+/// One of the two sites.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Name {
     Kovacik,
@@ -36,19 +36,19 @@
     pub(crate) name: Name,
     pub(crate) place: Place,
     pub(crate) data_centres: usize,
-    /// One for each firm.
+    /// Weight of each firm.
     pub(crate) weights: Vec<u32>,
-    /// What a worker offers.
+    /// Cores and memory of a worker.
     pub(crate) worker: Resources,
-    /// Workers in a rack.
-    rack: usize,
+    /// Number of workers in a rack.
+    workers_per_rack: usize,
     prefer: Priority,
     pub(crate) slots_per_lead: u32,
 }
 
 impl Model {
     pub(crate) fn new(name: Name, place: Place, faults: &[Fault]) -> Model {
-        let (data_centres, firms, cores, memory, rack, prefer) = match name {
+        let (data_centres, firms, cores, memory, workers_per_rack, prefer) = match name {
             Name::Kovacik => (3, 4, 64, 256, 8, Priority::ResponseTime),
             Name::Clydeside => (4, 3, 16, 32, 6, Priority::Messages),
         };
@@ -62,7 +62,16 @@
             false => vec![1; firms],
         };
         let slots_per_lead = DEFAULT_SLOTS_PER_LEAD;
-        Model { name, place, data_centres, weights, worker, rack, prefer, slots_per_lead }
+        Model {
+            name,
+            place,
+            data_centres,
+            weights,
+            worker,
+            workers_per_rack,
+            prefer,
+            slots_per_lead,
+        }
     }
 
     fn dc_name(&self, i: usize) -> String {
@@ -90,12 +99,16 @@
         Home { data_centre: self.data_centre(i), entry, incarnation: Incarnation(i as u64 + 1) }
     }
 
-    /// One-way latency between an entry or endpoint and another.
+    /// Returns the one-way latency between two entries or endpoints.
     pub(crate) fn distance(&self, a: usize, b: usize) -> Span {
-        if a % self.data_centres == b % self.data_centres { NEAR } else { FAR }
+        if a % self.data_centres == b % self.data_centres {
+            INTRA_DC_LATENCY
+        } else {
+            INTER_DC_LATENCY
+        }
     }
 
-    /// Whether nothing passes between two while a data centre is cut off.
+    /// Returns whether a cut-off data centre separates the two entries or endpoints.
     pub(crate) fn is_cut(&self, cut: Option<usize>, a: usize, b: usize) -> bool {
         let inside = |i: usize| Some(i % self.data_centres) == cut;
         inside(a) != inside(b)
@@ -110,7 +123,7 @@
             site.data_centres.insert(self.data_centre(i), dc);
             for j in 0..i {
                 let between = [self.dc_name(i).into(), self.dc_name(j).into()];
-                site.links.push(Link { between, latency: FAR });
+                site.links.push(Link { between, latency: INTER_DC_LATENCY });
             }
         }
         for i in 0..ENDPOINTS {
@@ -140,7 +153,7 @@
                 site.executors.insert(Self::endpoint(i), executor);
             }
             Place::Workers => {
-                endpoint["rack"] = json!(format!("rack-{}", i / self.rack));
+                endpoint["rack"] = json!(format!("rack-{}", i / self.workers_per_rack));
                 endpoint["cores"] = json!(self.worker.cores);
                 endpoint["memory"] = json!(self.worker.memory);
                 let worker = from_value(endpoint).expect("a worker");
