--- a/soak/src/inject.rs
+++ b/soak/src/inject.rs
@@ -135,8 +135,9 @@
                 self.misbehave(index, duration, |state, fails| state.fails = fails).await;
             }
             ExecutorFault::Drag => {
-                let slow_down =
-                    |state: &mut ExecutorState, is_slow| state.duration_factor = if is_slow { SLOW_FACTOR } else { 1 };
+                let slow_down = |state: &mut ExecutorState, is_slow| {
+                    state.duration_factor = if is_slow { SLOW_FACTOR } else { 1 }
+                };
                 self.misbehave(index, duration, slow_down).await;
             }
             ExecutorFault::Leave => self.leave(index),
@@ -225,7 +226,12 @@
         store.set_mode(Mode::Up);
     }
 
-    async fn misbehave(&self, index: usize, duration: Duration, change: impl Fn(&mut ExecutorState, bool)) {
+    async fn misbehave(
+        &self,
+        index: usize,
+        duration: Duration,
+        change: impl Fn(&mut ExecutorState, bool),
+    ) {
         let executor = &self.site.workers[index].executor;
         executor.change(|state, _| change(state, true));
         Timer::after(duration).await;
