--- a/components/standin/src/executor/mod.rs
+++ b/components/standin/src/executor/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in for an executor.
 //!
-//! `POST /<service>` accepts JSON `{"ms": 50, "echo": ..., "status": 200}` with all fields optional,
-//! runs for that time and returns the echo. `GET /healthz` reports the state of an attempt.
+//! `POST /<service>` accepts JSON `{"ms": 50, "echo": ..., "status": 200}` with all fields
+//! optional, runs for that time and returns the echo. `GET /healthz` reports the state of an attempt.
 
 use crate::{
     Faults, Ledger,
--- a/components/standin/src/leased/mod.rs
+++ b/components/standin/src/leased/mod.rs
@@ -1,6 +1,7 @@
 //! A stand-in for an executor that carries out orders under a lease, over HTTP.
 //!
-//! A task's specification gives its run time, the cores it needs and whether it fails: `{"ms": 60, "cpu": 27000, "fail": false}`.
+//! A task's specification gives its run time in milliseconds, the cores that it needs in thousandths
+//! and whether it fails: `{"ms": 60, "cpu": 27000, "fail": false}`.
 
 mod serve;
 mod state;
--- a/components/standin/src/platform/lease.rs
+++ b/components/standin/src/platform/lease.rs
@@ -7,7 +7,7 @@
 };
 
 /// Base of the lease identifiers that the store chooses. They start one above it.
-const FIRST_ID: i64 = 7_000_000_000;
+const LEASE_ID_BASE: i64 = 7_000_000_000;
 
 #[derive(Debug)]
 struct Lease {
@@ -32,7 +32,7 @@
     /// Grants a lease of `ttl` seconds with the identifier `id`; chooses one if `id` is 0.
     pub(super) fn grant(&mut self, id: i64, ttl: i64, now: Instant) -> Result<i64, StoreError> {
         self.granted += 1;
-        let id = if id == 0 { FIRST_ID + self.granted } else { id };
+        let id = if id == 0 { LEASE_ID_BASE + self.granted } else { id };
         if self.contains(id) {
             return Err(StoreError::LeaseExists);
         }
--- a/components/standin/src/platform/watch.rs
+++ b/components/standin/src/platform/watch.rs
@@ -15,8 +15,8 @@
     task::{Context, Poll, ready},
 };
 
-/// Length that the first line is padded to. The HTTP library buffers the response head and the start
-/// of a streamed body until its buffer is full.
+/// Length that the first line is padded to, since the HTTP library buffers the response head and the
+/// start of a streamed body until its buffer is full.
 const FIRST_LINE_BYTES: usize = 4096;
 
 #[derive(Debug)]
--- a/components/standin/src/protocol.rs
+++ b/components/standin/src/protocol.rs
@@ -1,5 +1,5 @@
-//! Header names of the endpoint protocol, as published in `docs/WORKERS.md`. They are defined a second
-//! time so that tests detect a dispatcher that deviates from the published protocol.
+//! Header names of the endpoint protocol, as published in `docs/WORKERS.md`. They are defined a
+//! second time so that tests detect a dispatcher that deviates from the published protocol.
 
 pub(crate) const TASK: &str = "Primrosestep-Task";
 pub(crate) const ATTEMPT: &str = "Primrosestep-Attempt";
--- a/components/standin/src/serve/host.rs
+++ b/components/standin/src/serve/host.rs
@@ -7,8 +7,8 @@
 use std::{io, net::SocketAddr, sync::Arc};
 use trillium::Handler;
 
-/// A listening endpoint whose faults can be set, and that can be killed and restarted. Stops when it
-/// is dropped.
+/// A listening endpoint whose faults can be set, and that can be killed and restarted. Stops when
+/// it is dropped.
 pub struct Host {
     listener: Arc<Listener>,
     control: Control,
--- a/lab/src/pattern/draw.rs
+++ b/lab/src/pattern/draw.rs
@@ -18,7 +18,8 @@
 /// Number of failures of one task after which its job fails.
 const MAX_TASK_FAILURES: u16 = 3;
 
-/// Jobs are given up after this multiple of their objective, which is computed from the estimate.
+/// Multiple of a job's objective, computed from the estimate, until which an answer counts for its
+/// caller. The job is given up after it.
 const GIVE_UP_FACTOR: f64 = 4.2;
 
 impl Pattern {
--- a/lab/src/simulation/plan.rs
+++ b/lab/src/simulation/plan.rs
@@ -80,7 +80,7 @@
         /// Duration in milliseconds.
         ms: u64,
     },
-    /// An executor neither runs tasks nor responds.
+    /// An executor neither carries out orders nor responds. Its tasks run on while its lease lasts.
     Dark {
         /// Index of the executor.
         executor: usize,
--- a/soak/src/check/violation.rs
+++ b/soak/src/check/violation.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Violation {
     /// A task ran at two executors at the same time.
-    #[display("a task ran twice at a time: {runs}")]
+    #[display("a task ran at two executors at the same time: {runs}")]
     Twice {
         /// The concurrent runs.
         runs: String,
@@ -37,7 +37,7 @@
         status: u16,
     },
     /// A request was cut off although there were only planned faults.
-    #[display("job {job} was cut off {} ms after entry {entry} was told to stop", after.as_millis())]
+    #[display("job {job} was cut off {} ms after entry {entry} got SIGTERM", after.as_millis())]
     Cut {
         /// Name of the job.
         job: String,
@@ -47,7 +47,7 @@
         after: Duration,
     },
     /// A request got no answer in time although there was no unplanned fault.
-    #[display("job {job} got no answer of entry {entry} in time")]
+    #[display("job {job} got no answer from entry {entry} in time")]
     Unanswered {
         /// Name of the job.
         job: String,
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-/// How one submission of a job ended for its caller.
+/// How one attempt to submit a job ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The answer says that all tasks completed.
@@ -29,7 +29,7 @@
     Left,
 }
 
-/// One submission of a job to an entry.
+/// One attempt to submit a job to an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     /// Index of the entry that got the request.
@@ -45,7 +45,7 @@
 pub struct Job {
     /// Number of tasks.
     pub tasks: u16,
-    /// Submissions of the job, in order.
+    /// Attempts to submit the job, in order.
     pub attempts: Vec<Attempt>,
 }
 
@@ -108,7 +108,7 @@
     pub unwanted: Vec<(String, Duration)>,
 }
 
-/// Returns the request id that a caller gives to a submission of a job.
+/// Returns the request id that a caller gives to an attempt to submit a job.
 pub fn request(job: &str, attempt: usize) -> String {
     format!("{job}.{attempt}")
 }
@@ -119,7 +119,7 @@
         change(&mut self.state.lock());
     }
 
-    /// Records the beginning of a submission; returns its position among those of the job.
+    /// Records the beginning of an attempt; returns its position among those of the job.
     pub fn begin(&self, name: &str, tasks: u16, entry: usize) -> usize {
         let mut state = self.state.lock();
         let job = state.jobs.entry(name.to_owned()).or_default();
@@ -128,7 +128,7 @@
         job.attempts.len() - 1
     }
 
-    /// Records how a submission ended.
+    /// Records how an attempt ended.
     pub fn end(&self, name: &str, attempt: usize, outcome: Outcome) {
         let mut state = self.state.lock();
         let job = state.jobs.get_mut(name);
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -53,7 +53,7 @@
     #[display("is suspended")]
     Freeze,
     /// Its process gets SIGTERM, and another one is started once it has ended.
-    #[display("is told to stop")]
+    #[display("gets SIGTERM")]
     Terminate,
     /// The callers' connections are reset.
     #[display("has its callers' connections reset")]
@@ -61,7 +61,8 @@
     /// It and its peers can't reach each other.
     #[display("is cut off from its peers")]
     CutPeers,
-    /// Datagrams from its peers are lost, those to its peers are not.
+    /// On connections that its peers opened, datagrams from the peers are lost, those to them are
+    /// not.
     #[display("receives nothing from its peers")]
     DeafenPeers,
     /// Datagrams between it and its peers are delayed.
@@ -87,7 +88,7 @@
     /// The connections to it are reset.
     #[display("has its connections reset")]
     ResetOrders,
-    /// It neither runs tasks nor responds.
+    /// It neither carries out orders nor responds. Its tasks run on while its lease lasts.
     #[display("is unresponsive")]
     Dark,
     /// It fails all tasks that it starts.
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -42,7 +42,7 @@
 /// Result of a play.
 #[derive(Debug, Display)]
 #[display(
-    "seed {seed}: {} jobs, {completed} completed, {refused} refused, {given_up} given up, {disconnected} disconnected; \
+    "seed {seed}: {} jobs, {completed} completed, {refused} refused, {given_up} given up, {disconnected} without an answer; \
      {} faults, {} violations",
     jobs, steps.len(), violations.len()
 )]
--- a/soak/src/relay.rs
+++ b/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! UDP relay on loopback that stands between one entry and its peers.
+//! UDP relay on loopback in front of one entry, for the connections that its peers open to it.
 
 use crate::proxy::{Forwarding, Mode};
 use parking_lot::Mutex;
