--- a/benches/real/child.rs
+++ b/benches/real/child.rs
@@ -65,7 +65,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         drop(self.child.stdin.take());
-        // A failed wait needs no handling.
+        // Nothing is left to do if the wait fails.
         let _ = self.child.wait();
     }
 }
--- a/benches/workload/model.rs
+++ b/benches/workload/model.rs
@@ -23,7 +23,7 @@
 /// One-way latency between data centres.
 pub(crate) const INTER_DC_LATENCY: Span = Span(1_400);
 
-/// One of the two sites.
+/// One of today's two sites.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Name {
     Kovacik,
--- a/capacity/src/probe/heartbeat.rs
+++ b/capacity/src/probe/heartbeat.rs
@@ -12,7 +12,8 @@
     unit::{Span, Time},
 };
 
-/// Numbers of data centres and of entries in all: of today first, then around full size.
+/// Numbers of data centres and of entries of the whole site: today's first, then several numbers of
+/// entries with the data centres of full size.
 const LAYOUTS: [(usize, usize); 5] = [(3, 8), (9, 9), (9, 27), (9, 54), (9, 108)];
 
 /// Data centres in each region.
--- a/capacity/src/probe/lend.rs
+++ b/capacity/src/probe/lend.rs
@@ -30,7 +30,7 @@
 /// Service id that stands for the pool of all workers in messages.
 const WORKERS: ServiceId = ServiceId(0);
 
-/// Tasks with these [`NEEDS`] that fit on one worker.
+/// Number of tasks with [`NEEDS`] that fit on one worker.
 const TASKS_PER_WORKER: u32 = 64;
 
 const NEEDS: Resources = Resources {
--- a/capacity/src/probe/settings.rs
+++ b/capacity/src/probe/settings.rs
@@ -88,7 +88,8 @@
     (changed, length)
 }
 
-/// Returns the message that an entry sends to a peer with revision `base`; 0 if it has no settings.
+/// Returns the message that an entry sends to a peer with revision `base`, which is 0 for a peer
+/// without settings.
 fn settings_message(files: &Files, base: Revision) -> Message {
     let files = files.iter().map(|(name, text)| (name.to_string(), text.to_vec())).collect();
     let revision = Revision(1_000_001);
--- a/fuzz/src/http.rs
+++ b/fuzz/src/http.rs
@@ -23,7 +23,8 @@
     "\u{1f600}",
 ];
 
-/// Approximate total size of the filler headers that make a message head too long, in bytes.
+/// Upper bound on the total size of the values of the filler headers, in bytes. Many of them make a
+/// message head too long.
 const OVERSIZED_HEADERS_BYTES: usize = 64 << 10;
 
 /// How a message marks the end of its body.
--- a/fuzz/src/target/mod.rs
+++ b/fuzz/src/target/mod.rs
@@ -45,7 +45,7 @@
 pub enum Name {
     /// Callers' requests, over a socket.
     Requests,
-    /// Directories of site settings.
+    /// Folders of site settings.
     Settings,
     /// Settings files of a daemon.
     Daemon,
--- a/fuzz/src/target/peers/deployment.rs
+++ b/fuzz/src/target/peers/deployment.rs
@@ -74,7 +74,7 @@
 impl Default for Deployment {
     fn default() -> Deployment {
         let files = [("all.json".into(), SETTINGS.into())].into();
-        let site = parse(&files).expect("the site's settings are whole").site;
+        let site = parse(&files).expect("the site's settings are valid").site;
         let slots = |executor: &site::Executor| {
             let service = site.services.values().find(|service| service.name == executor.service);
             executor.slots.or(service.map(|service| service.slots)).unwrap_or_default()
--- a/fuzz/src/target/peers/simulation.rs
+++ b/fuzz/src/target/peers/simulation.rs
@@ -23,7 +23,7 @@
     sync::Arc,
 };
 
-/// Limit on the ticks during one wait.
+/// Limit on the ticks during one wait. An entry whose timers do not advance the time exceeds it.
 const MAX_TICKS: usize = 20_000;
 
 /// Limit on the actions that result from one event.
--- a/fuzz/src/target/settings.rs
+++ b/fuzz/src/target/settings.rs
@@ -1,4 +1,4 @@
-//! Targets for settings: the directory of a site and the file of a daemon.
+//! Targets for settings: the folder of a site and the file of a daemon.
 
 use super::Target;
 use crate::{Finding, Outcome, Random, bytes, json};
@@ -7,8 +7,8 @@
 use settings::{Files, daemon::Daemon, diff, parse, read, render};
 use std::path::Path;
 
-/// Largest growth of the heap for one directory, in bytes.
-const DIRECTORY_HEAP_BOUND: usize = 2 << 20;
+/// Largest growth of the heap for one folder, in bytes.
+const FOLDER_HEAP_BOUND: usize = 2 << 20;
 
 /// Largest growth of the heap for one file of a daemon, in bytes.
 const DAEMON_HEAP_BOUND: usize = 256 << 10;
@@ -17,7 +17,7 @@
 
 const DAEMON: &str = include_str!("../../../fixtures/daemon.json");
 
-/// Directories of site settings. A case holds the names and texts of the files.
+/// Folders of site settings. A case holds the names and texts of the files.
 #[derive(Debug)]
 pub struct Directories {
     valid: Vec<Files>,
@@ -39,7 +39,7 @@
     }
 
     fn heap_bound(&self) -> usize {
-        DIRECTORY_HEAP_BOUND
+        FOLDER_HEAP_BOUND
     }
 
     fn generate(&mut self, rng: &mut Random) -> Vec<u8> {
