--- a/components/dispatch/src/entry/handovers.rs
+++ b/components/dispatch/src/entry/handovers.rs
@@ -22,7 +22,7 @@
     pub(super) successor_order: VecDeque<Home>,
     /// Tables that this entry has taken over, with the time of their arrival.
     pub(super) held: VecDeque<(Time, HomeTable)>,
-    /// Homes whose table is being received, with the number of the next part.
+    /// Homes whose table is being received, with the number of the next expected part.
     pub(super) incoming_parts: FxHashMap<Home, u32>,
     /// Tokens of other homes under which this entry admitted requests, with the time of the latest
     /// one.
@@ -83,7 +83,7 @@
     }
 
     /// Returns whether a home had already dropped the epoch of a token when its table was handed
-    /// over.
+    /// over. True also if this entry holds no table of that home.
     pub(super) fn is_forgotten(&self, token: Token) -> bool {
         let table = self.held.iter().find(|(_, table)| table.home == token.home);
         table.is_none_or(|(_, table)| token.epoch < table.first_epoch)
--- a/components/dispatch/src/entry/mod.rs
+++ b/components/dispatch/src/entry/mod.rs
@@ -38,7 +38,7 @@
 /// Number of epochs, including the current one, whose identifiers are accepted and remembered.
 pub const EPOCHS: u32 = 8;
 
-/// Default capacity, in slots, for each lead entry.
+/// Default of [`Options::slots_per_lead`]: one lead entry is appointed per this many slots.
 pub const DEFAULT_SLOTS_PER_LEAD: u32 = 2_000;
 
 /// Minimum time without an event after which this process is assumed to have been paused. Shorter
--- a/components/dispatch/src/pool/lend.rs
+++ b/components/dispatch/src/pool/lend.rs
@@ -82,7 +82,8 @@
         self.schedule(now, out);
     }
 
-    /// Allocates free capacity that is owed to neighbours or recalled by its keeper.
+    /// Returns free capacity that its keeper recalled. While tasks are queued here, also allocates
+    /// what is owed to neighbours.
     pub(super) fn lend_owed(&mut self, now: Time) {
         self.return_recalled(now);
         if self.queue.is_empty() || self.share.owed == 0 {
@@ -173,7 +174,8 @@
         self.placement.free_endpoints(false).map(|(_, free)| free.max_tasks(needs)).sum()
     }
 
-    /// Allocates idle capacity for up to `tasks` tasks to `to`. Returns the number of tasks.
+    /// Allocates idle capacity for up to `tasks` tasks to `to`; borrowed capacity goes back to
+    /// its keeper instead. Returns the number of tasks, those of returned capacity included.
     fn hand_out(&mut self, now: Time, to: Home, tasks: u32, needs: &Resources) -> u32 {
         let mut given = 0;
         let free: Vec<_> = self.placement.free_endpoints(false).collect();
--- a/components/dispatch/src/pool/mod.rs
+++ b/components/dispatch/src/pool/mod.rs
@@ -65,9 +65,9 @@
     item: QueuedTask,
     endpoint: EndpointId,
     started: Time,
-    /// Resources reserved on the endpoint.
+    /// Resources reserved on the endpoint: the declared ones, corrected by measurements.
     needs: Resources,
-    /// Resources that the caller declared.
+    /// Resources that the caller declared, or else the service's.
     declared: Resources,
     /// Maximum of the resources that the worker measured; `None` before the first measurement.
     measured: Option<Resources>,
--- a/components/dispatch/src/pool/request.rs
+++ b/components/dispatch/src/pool/request.rs
@@ -23,7 +23,8 @@
 /// than doubled.
 const MIN_GROWTH_INTERVAL: Span = Span::from_millis(20);
 
-/// Maximum number of firms in a capacity request. The keeper gives no weight to the others.
+/// Maximum number of firms in a capacity request. Those with the lowest ids are listed; the
+/// keeper gives no weight to the others.
 const MAX_DEMAND_FIRMS: usize = 16;
 
 impl Pool {
--- a/components/dispatch/src/pool/trial.rs
+++ b/components/dispatch/src/pool/trial.rs
@@ -74,6 +74,7 @@
         if self.is_leaving(endpoint) || !self.health.is_open(endpoint) {
             return false;
         }
+        // An endpoint on trial is closed to other tasks, and only an open one can be taken.
         self.placement.set_open(endpoint, true);
         let taken = self.placement.take(endpoint, needs);
         self.placement.set_open(endpoint, false);
--- a/components/entry/src/claims.rs
+++ b/components/entry/src/claims.rs
@@ -74,7 +74,7 @@
 
 /// Groups the claims by document, each batch with its requests in the same order.
 fn batches(round: Vec<ClaimRequest>) -> Vec<(Batch, Vec<ClaimRequest>)> {
-    let expires = Timestamp(Timestamp::from(SystemTime::now()).0 + KEY_TTL.as_secs());
+    let expires = Timestamp(Timestamp::from(SystemTime::now()).0 + KEY_TTL.as_secs_ceil());
     let claim = |request: &ClaimRequest| Claim {
         firm: request.firm,
         key: request.key.clone(),
--- a/components/fairness/src/queue.rs
+++ b/components/fairness/src/queue.rs
@@ -97,7 +97,7 @@
 
     /// Queues a task. Later jobs of its crew may overtake it by at most `max_overtake` of service,
     /// and at most by a fixed multiple of its own cost. The limit of a job is the sum over its
-    /// tasks.
+    /// tasks. Jobs moved forward by [`boost`](Self::boost) may overtake it by more.
     pub fn push_with_max_overtake(&mut self, key: Key, cost: Span, max_overtake: Span, item: T) {
         let task = Task { cost, charged: false, item };
         let index = self.add(key, cost, |tasks| tasks.push_back(task));
--- a/components/health/src/record.rs
+++ b/components/health/src/record.rs
@@ -38,7 +38,7 @@
     pub(crate) last_failure: Time,
     /// Whether the monitor counts it as failing.
     pub(crate) failing: bool,
-    /// Whether it is in the monitor's queue of marks.
+    /// Whether `Monitor::marks` has an item for it.
     pub(crate) queued: bool,
     /// Refusals since the last one that counted as a failure.
     pub(crate) refusals: u32,
--- a/components/membership/src/keepers.rs
+++ b/components/membership/src/keepers.rs
@@ -7,7 +7,8 @@
 };
 
 /// Divisor: large entries keep all executors of their data centre if the processor capacity that
-/// they have beyond the reserve is at least this fraction of the data centre's.
+/// they have beyond the reserve is at least one part in this many of the data
+/// centre's.
 const MIN_SPARE_DIVISOR: u64 = 8;
 
 /// Returns the weights by which executors are divided within each data centre. `homes` lists the
--- a/components/runs/src/action.rs
+++ b/components/runs/src/action.rs
@@ -29,8 +29,9 @@
         /// Fencing token: proves that this entry is the executor's keeper.
         token: u64,
     },
-    /// Polls an executor for its listing and renews its lease. Results in one
-    /// [`crate::Event::Polled`].
+    /// Polls an executor for its listing. Renews its lease only if [`Poll::deadline`] is set: if
+    /// the executor is ready, has runs and missed no poll. A start extends the lease too. Results
+    /// in one [`crate::Event::Polled`].
     Poll(Poll),
     /// Answers a caller.
     Answer {
--- a/components/runs/src/entry.rs
+++ b/components/runs/src/entry.rs
@@ -84,7 +84,7 @@
             self.handle_pause(now, span, out);
         }
         self.latest_event = now;
-        self.drop_unresponsive_peers(now, out);
+        self.stop_runs_of_unresponsive_homes(now, out);
         self.handle_event(now, event, out);
         self.schedule(now, out);
         self.update_watch(now, out);
@@ -157,9 +157,10 @@
         }
     }
 
-    /// Stops what runs for peers that have sent nothing for too long. Runs before any other
-    /// handling, so that a process that did not run for a while renews no lease for them.
-    fn drop_unresponsive_peers(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Stops what runs for peers that have sent nothing for too long; they stay in the view. Runs
+    /// before any other handling, so that a process that did not run for a while renews no lease
+    /// for them.
+    fn stop_runs_of_unresponsive_homes(&mut self, now: Time, out: &mut Vec<Action>) {
         let limit = self.options.peer_silence;
         let unresponsive: Vec<_> = self
             .last_contact
--- a/components/runs/src/home/retry_delays.rs
+++ b/components/runs/src/home/retry_delays.rs
@@ -8,7 +8,8 @@
 use site::unit::{Span, Time};
 use std::hash::Hasher;
 
-/// Minimum delay. The unit of the answer is a second.
+/// Minimum delay. The unit of the header `Retry-After` is a second, rounded up: callers nearly
+/// always see 2 s at the start of an overload, and up to 9 s later.
 const MIN_DELAY: Span = Span::from_secs(1);
 
 /// Maximum spread: a day's peaks last a few seconds, and callers that have waited longer have given
--- a/components/runs/src/keeper/incarnation.rs
+++ b/components/runs/src/keeper/incarnation.rs
@@ -39,7 +39,9 @@
         }
     }
 
-    /// Resets everything that was true of the previous incarnation.
+    /// Records a new incarnation. Resets the clock, the lease deadline, the numbers of handled
+    /// ends, the missed polls and `full_until`. The token, `tries`, `inherited_until`, slowness,
+    /// health, `last_completed` and the runs stay: the next listing decides about the runs.
     fn begin_incarnation(
         &mut self,
         now: Time,
--- a/components/runs/src/keeper/lease.rs
+++ b/components/runs/src/keeper/lease.rs
@@ -16,7 +16,8 @@
 /// an idle executor, and shorter than an executor's restart.
 const MAX_CLOCK_AGE: Span = Span::from_millis(1_500);
 
-/// An executor that this entry keeps.
+/// The whole record of an executor that this entry keeps: its lease, its runs, its polls and what
+/// is known of its speed.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pub(crate) executor: Executor,
--- a/components/runs/src/keeper/poll.rs
+++ b/components/runs/src/keeper/poll.rs
@@ -1,4 +1,5 @@
-//! Polls of executors, which also renew their leases.
+//! Polls of executors. A poll renews the lease only if the executor is ready, has runs and missed
+//! no poll; `poll_again` never does. A start extends the lease too.
 
 use super::{Age, Keeper, Lease, OutstandingPoll, Phase, State, TrackedRun, log_keep};
 use crate::{
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Time after which a start that has got no response and is not listed counts as lost.
+    /// Time after which a start that has got no response and is not listed is stopped.
     pub(super) fn start_grace(&self) -> Span {
         self.options.start_grace + Span(self.usual_start_time.0 * 4)
     }
--- a/components/runs/src/message.rs
+++ b/components/runs/src/message.rs
@@ -117,13 +117,15 @@
     Done,
     /// It ran and failed.
     Failed,
-    /// It started and was interrupted.
+    /// It ended early at an executor that goes on: stopped, ended with the executor's lease, or no
+    /// longer listed.
     Lost,
-    /// Its executor crashed, or was unresponsive until the lease expired.
+    /// Its executor's incarnation ended, or the executor was unresponsive until the lease expired.
     ExecutorLost,
     /// It never started.
     NotRun,
-    /// Another keeper has taken over the executor and is about to stop the run.
+    /// Another keeper has taken over the executor and is about to stop the run,
+    /// which may go on until then.
     Unsure,
 }
 
--- a/components/runs/src/options.rs
+++ b/components/runs/src/options.rs
@@ -26,7 +26,8 @@
     /// slow it has to be below the time after which callers submit a job again elsewhere, 1,300 ms:
     /// whatever a lost home had running has then ended, even if every stop is lost.
     pub lease: Span,
-    /// A home that has sent nothing for this long is considered lost. Three reports.
+    /// A home that has sent nothing for this long is considered lost: its runs are stopped.
+    /// More than three times `report_refresh`.
     pub peer_silence: Span,
     /// How long an executor holds back its response to a poll while no run ends. At most a third of
     /// a lease, so that two polls in a row may fail.
@@ -68,8 +69,8 @@
     pub claim_timeout: Span,
     /// Pause before an executor that fenced this entry is claimed again.
     pub fenced_pause: Span,
-    /// If a poll is sent this long after a start and the run is not listed, the start counts as
-    /// lost. Above the longest usual transit time to an executor.
+    /// If a poll is sent this long after a start and the run is not listed, it is stopped.
+    /// Above the longest usual transit time to an executor.
     pub start_grace: Span,
     /// A run that takes this many times its estimate is stopped: tasks may hang.
     pub overdue_factor: u64,
--- a/components/server/src/reply.rs
+++ b/components/server/src/reply.rs
@@ -105,7 +105,7 @@
         Reply {
             content_type: problem::CONTENT_TYPE.into(),
             outcome: Some(outcome_name(problem.outcome)),
-            retry_after: problem.retry_after.map(|span| span.as_secs()),
+            retry_after: problem.retry_after.map(|span| span.as_secs_ceil()),
             ..reply
         }
     }
--- a/components/site/src/unit.rs
+++ b/components/site/src/unit.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the whole seconds, rounded up.
-    pub fn as_secs(self) -> u64 {
+    pub fn as_secs_ceil(self) -> u64 {
         self.0.div_ceil(1_000_000)
     }
 }
